--- a/packages/radishd/src/radishd/entry.py
+++ b/packages/radishd/src/radishd/entry.py
@@ -190,7 +190,7 @@
                 tasks.start_soon(self._watch, caller, receive)
                 await caller.run()
                 tasks.cancel_scope.cancel()
-        except* caller_lib.CutError as group:
+        except* caller_lib.ResponseAbortedError as group:
             caller.failure = group.exceptions[0].failure
             raise group.exceptions[0] from None
         except* Exception as group:
@@ -221,9 +221,9 @@
         with anyio.move_on_after((left_ms + grace_ms) / MS_PER_S):
             while (await receive())["type"] != "http.disconnect":
                 pass
-            caller.interrupt(caller_lib.Left())
+            caller.interrupt(caller_lib.Disconnected())
             return
-        caller.interrupt(caller_lib.Deadline())
+        caller.interrupt(caller_lib.DeadlineExceeded())
 
     def count(self, failure: result.Failure | None) -> None:
         """Counts a request's one outcome."""
--- a/packages/radishd/src/radishd/request/caller.py
+++ b/packages/radishd/src/radishd/request/caller.py
@@ -25,11 +25,11 @@
 
 MS_PER_S = 1000.0
 ACK_EVERY_CHUNKS = 16
-RESUME_PAUSE_MS = 50
+RESUME_RETRY_DELAY_MS = 50
 REHOME_WAIT_MS = 1_000
 DEADLINE_GRACE_MS = 250
 
-_EXECUTED = (
+_EXECUTED_BY_NUMBER = (
     result.Executed.NO,
     result.Executed.YES,
     result.Executed.UNKNOWN,
@@ -37,12 +37,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Deadline:
+class DeadlineExceeded:
     """Put into the inbox when the caller's time is over."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Left:
+class Disconnected:
     """Put into the inbox when the caller has left."""
 
 
@@ -82,7 +82,7 @@
         self.inbox = inbox_lib.Inbox()
         self._interrupts: list[object] = []
         self.exchange: exchange_lib.Exchange | None = None
-        self.unacked = 0
+        self.unacked_chunks = 0
         self.head_sent = False
         self.failure: result.Failure | None = None
         self.target = ""
@@ -92,7 +92,7 @@
         self._interrupts.append(item)
         self.inbox.put(item)
 
-    def _renew_inbox(self) -> None:
+    def _reset_inbox(self) -> None:
         """Leaves behind what an earlier stream sent, but no interrupt."""
         self.inbox = inbox_lib.Inbox()
         for item in self._interrupts:
@@ -112,41 +112,43 @@
             while not self.exchange.done:
                 item = self.inbox.take_ready()
                 if item is None:
-                    self._ack()
+                    self._send_ack()
                     item = await self.inbox.take()
-                await self._take(item)
+                await self._handle_item(item)
         finally:
             self._close_stream()
 
-    async def _take(self, item: object) -> None:
+    async def _handle_item(self, item: object) -> None:
         now_ms = clock.now_ms()
         match item:
             case frame.Chunk(number=number, payload=payload):
                 event = exchange_lib.Arrived(number, payload)
             case frame.Accepted():
-                self._observe(item.load, now_ms)
+                self._record_load(item.load, now_ms)
                 event = exchange_lib.Started(
                     item.status, item.content_type, item.adapter
                 )
             case frame.End():
-                event = exchange_lib.EndArrived(item.total, _failure_of(item))
+                event = exchange_lib.EndArrived(
+                    item.total, _failure_from_end(item)
+                )
             case frame.Refusal():
-                await self._take_refusal(item, now_ms)
+                await self._handle_refusal(item, now_ms)
                 return
             case result.Failure():
                 self.entry.router.failed(self.target, now_ms)
                 event = exchange_lib.Lost()
-            case Deadline():
+            case DeadlineExceeded():
                 event = exchange_lib.Expired()
-            case Left():
+            case Disconnected():
                 event = exchange_lib.CallerLeft()
             case _:
                 return
         await self._perform_all(self.exchange.handle(event, now_ms))
 
-    async def _take_refusal(self, body: frame.Refusal, now_ms: int) -> None:
-        self._observe(body.load, now_ms)
-        failure = _refusal_failure(body)
+    async def _handle_refusal(self, body: frame.Refusal, now_ms: int) -> None:
+        self._record_load(body.load, now_ms)
+        failure = _failure_from_refusal(body)
         if failure.code is result.RUN_UNKNOWN:
             actions = exchange_lib.resume_failed(self.exchange, now_ms)
         else:
@@ -154,7 +156,7 @@
             actions = self.exchange.handle(event, now_ms)
         await self._perform_all(actions)
 
-    def _observe(self, load: object, now_ms: int) -> None:
+    def _record_load(self, load: object, now_ms: int) -> None:
         self.entry.router.observe(
             self.target, self.resolution.adapter, load, now_ms
         )
@@ -168,10 +170,10 @@
             self.link.close(self.stream)
             self.link = None
 
-    def _ack(self) -> None:
+    def _send_ack(self) -> None:
         """Tells the target what has reached the caller, now and then."""
-        if self.unacked and self.link is not None and not self.link.lost:
-            self.unacked = 0
+        if self.unacked_chunks and self.link is not None and not self.link.lost:
+            self.unacked_chunks = 0
             self.link.send(
                 self.stream, frame.Ack(self.exchange.sequence.expected)
             )
@@ -179,18 +181,20 @@
     async def open_stream(self, target: str) -> result.Failure | None:
         """Opens a stream to a target for a submission or a resumption."""
         self._close_stream()
-        known = self.held.document.targets.get(target)
-        if known is None:
-            known = self.entry.configuration.held.document.targets.get(target)
-        if known is None:
+        target_config = self.held.document.targets.get(target)
+        if target_config is None:
+            target_config = self.entry.configuration.held.document.targets.get(
+                target
+            )
+        if target_config is None:
             return result.Failure(result.NO_TARGET, f"no target {target}")
-        link = await self.entry.links.get(target, known.address)
+        link = await self.entry.links.get(target, target_config.address)
         if isinstance(link, result.Failure):
             self.entry.router.failed(target, clock.now_ms())
             return link
         self.link = link
         self.target = target
-        self._renew_inbox()
+        self._reset_inbox()
         self.stream = link.adopt(self.inbox)
         return None
 
@@ -236,29 +240,29 @@
             await self.send(
                 {
                     "type": "http.response.body",
-                    "body": error_body.event(failure),
+                    "body": error_body.encode_event(failure),
                     "more_body": True,
                 }
             )
-        raise CutError(failure)
+        raise ResponseAbortedError(failure)
 
     async def send(self, message: web.Message) -> None:
         """Sends the caller an ASGI message."""
         await self._send(message)
 
 
-def _failure_of(end: frame.End) -> result.Failure | None:
+def _failure_from_end(end: frame.End) -> result.Failure | None:
     if end.code == 0:
         return None
     return result.Failure(result.find_code(end.code), end.message)
 
 
-def _refusal_failure(body: frame.Refusal) -> result.Failure:
-    proof = result.Executed.UNKNOWN
-    if body.executed < len(_EXECUTED):
-        proof = _EXECUTED[body.executed]
+def _failure_from_refusal(body: frame.Refusal) -> result.Failure:
+    executed = result.Executed.UNKNOWN
+    if body.executed < len(_EXECUTED_BY_NUMBER):
+        executed = _EXECUTED_BY_NUMBER[body.executed]
     return result.Failure(
-        result.find_code(body.code), body.message, body.retry_after_ms, proof
+        result.find_code(body.code), body.message, body.retry_after_ms, executed
     )
 
 
@@ -288,7 +292,7 @@
     caller.entry.metrics.resumes.inc({})
     failure = await caller.open_stream(action.target)
     if failure is not None:
-        await anyio.sleep(RESUME_PAUSE_MS / MS_PER_S)
+        await anyio.sleep(RESUME_RETRY_DELAY_MS / MS_PER_S)
         failure = await caller.open_stream(action.target)
     if failure is not None:
         actions = exchange_lib.resume_failed(caller.exchange, clock.now_ms())
@@ -356,9 +360,9 @@
             "more_body": True,
         }
     )
-    caller.unacked += 1
-    if caller.unacked >= ACK_EVERY_CHUNKS:
-        caller._ack()
+    caller.unacked_chunks += 1
+    if caller.unacked_chunks >= ACK_EVERY_CHUNKS:
+        caller._send_ack()
 
 
 @_perform.register
@@ -380,7 +384,7 @@
     caller._close_stream()
 
 
-class CutError(Exception):
+class ResponseAbortedError(Exception):
     """Ends a caller's connection in the middle of an answer."""
 
     def __init__(self, failure: result.Failure) -> None:
--- a/packages/radishd/src/radishd/request/callers_port.py
+++ b/packages/radishd/src/radishd/request/callers_port.py
@@ -20,10 +20,10 @@
 from radishd.process import logs
 from radishd.process import web
 from radishd.request import forward as forward_lib
-from radishd.request import gateway_port
+from radishd.request import gateway_interface
 
 
-class Host(gateway_port.GatewayPort, Protocol):
+class CallersPortGateway(gateway_interface.GatewayInterface, Protocol):
     """The gateway, as its callers' port sees it.
 
     Attributes:
@@ -40,7 +40,7 @@
 class CallersPort:
     """Serves the callers of one gateway."""
 
-    def __init__(self, gateway: Host) -> None:
+    def __init__(self, gateway: CallersPortGateway) -> None:
         """Starts with no request.
 
         Args:
@@ -70,12 +70,12 @@
     ) -> None:
         request = front.decode(scope)
         if isinstance(request, result.Failure):
-            await self._refuse(request, "", send)
+            await self._reject(request, "", send)
             return
         # Rejected before a large body is read, where the head suffices.
         admitted = self._admit(request)
         if isinstance(admitted, result.Failure):
-            await self._refuse(admitted, request.attempt_id, send)
+            await self._reject(admitted, request.attempt_id, send)
             return
         gateway = self._gateway
         max_body_bytes = gateway.table.limits.max_body_bytes
@@ -83,24 +83,24 @@
         if body is None:
             return
         if isinstance(body, result.Failure):
-            await self._refuse(body, request.attempt_id, send)
+            await self._reject(body, request.attempt_id, send)
             return
         # Admitted again once the request is whole, so that a configuration
         # that came into force while it was read applies to it.
         admitted = self._admit(request)
         if isinstance(admitted, result.Failure):
-            await self._refuse(admitted, request.attempt_id, send)
+            await self._reject(admitted, request.attempt_id, send)
             return
-        booking = await gateway.usage_caps.admit(
+        reservation = await gateway.usage_caps.admit(
             admitted.account, request.token_count
         )
-        if isinstance(booking, result.Failure):
-            await self._refuse(
-                booking, request.attempt_id, send, admitted.account_name
+        if isinstance(reservation, result.Failure):
+            await self._reject(
+                reservation, request.attempt_id, send, admitted.account_name
             )
             return
         forward = forward_lib.Forward(
-            gateway, request, admitted, body, send, arrived_at_ms, booking
+            gateway, request, admitted, body, send, arrived_at_ms, reservation
         )
         gateway.budget(forward.service).earn(arrived_at_ms)
         await self._run(forward, receive)
@@ -114,14 +114,14 @@
             retry_after_ms=self._gateway.spread(forward_lib.NO_TARGET_RETRY_MS),
         )
 
-    async def _refuse(
+    async def _reject(
         self,
         failure: result.Failure,
         attempt_id: str,
         send: web.Send,
         account: str = "",
     ) -> None:
-        self._count(failure)
+        self._count_request(failure)
         self._gateway.log.write(
             "request",
             request=attempt_id,
@@ -141,7 +141,7 @@
         gateway = self._gateway
         left = done = False
 
-        async def watch() -> None:
+        async def watch_disconnect() -> None:
             nonlocal left
             while (await receive())["type"] != "http.disconnect":
                 pass
@@ -150,22 +150,22 @@
 
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(watch)
+                tasks.start_soon(watch_disconnect)
                 await forward.run()
                 done = True
                 tasks.cancel_scope.cancel()
-        except* forward_lib.CutError:
+        except* forward_lib.ResponseAbortedError:
             # The server closes the connection without ending the answer.
-            raise forward_lib.CutError from None
+            raise forward_lib.ResponseAbortedError from None
         except* Exception as group:
-            await self._log_broken(forward, group)
+            await self._handle_exception(forward, group)
         finally:
             forward.release()
             if forward.is_trial:
                 gateway.crash_gossip.end_trial(forward.fingerprint())
             self._log_request(forward, left=left)
 
-    async def _log_broken(
+    async def _handle_exception(
         self, forward: forward_lib.Forward, group: ExceptionGroup
     ) -> None:
         """Logs what stopped one request; the others go on."""
@@ -176,15 +176,15 @@
         logs.exception("request_broke", request=forward.request.attempt_id)
         self._gateway.metrics.broken.inc({"code": str(code.number)})
         forward.failure = result.Failure(code, repr(group.exceptions[0]))
-        if forward.began:
-            raise forward_lib.CutError
+        if forward.response_started:
+            raise forward_lib.ResponseAbortedError
         forward.state.may_have_run = forward.sent
         failure = result.Failure(
             result.INTERNAL, "this gateway broke off the request"
         )
         await forward.reply(failure)
 
-    def _count(self, failure: result.Failure | None) -> None:
+    def _count_request(self, failure: result.Failure | None) -> None:
         number = failure.code.number if failure is not None else 0
         self._gateway.metrics.requests.inc({"code": str(number)})
         if number:
@@ -196,7 +196,7 @@
         failure = forward.failure
         if left and failure is None:
             failure = result.Failure(result.CANCELLED, "the caller left")
-        self._count(failure)
+        self._count_request(failure)
         now_ms = clock.boot_ms()
         fields: dict[str, Any] = {}
         if failure is not None:
@@ -205,8 +205,8 @@
             fields["account"] = forward.admission.account_name
         if forward.needs_adapter:
             fields["adapter"] = forward.request.adapter
-        if failure is not None and forward.known_fingerprint:
-            fields["fingerprint"] = forward.known_fingerprint
+        if failure is not None and forward.cached_fingerprint:
+            fields["fingerprint"] = forward.cached_fingerprint
         self._gateway.log.write(
             "request",
             request=forward.request.attempt_id,
@@ -215,7 +215,7 @@
             config=self._gateway.table.version,
             status=forward.status,
             code=failure.code.number if failure is not None else 0,
-            sends=forward.trail,
+            sends=forward.send_history,
             took_ms=now_ms - forward.arrived_at_ms,
             left_ms=forward.deadline_at_ms - now_ms,
             **fields,
--- a/packages/radishd/src/radishd/request/engine_call.py
+++ b/packages/radishd/src/radishd/request/engine_call.py
@@ -20,7 +20,7 @@
 OK = 200
 NOT_FOUND = 404
 COLD_RETRY_MS = 500
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,8 +44,8 @@
     content_type: str
 
 
-Part = Head | bytes | result.Failure
-Report = Callable[[str], bool]
+ResponsePart = Head | bytes | result.Failure
+ModelCheck = Callable[[str], bool]
 
 
 async def call(
@@ -53,8 +53,8 @@
     url: str,
     attempt: attempt_lib.Attempt,
     limits: Limits,
-    report: Report,
-) -> AsyncIterator[Part]:
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
     """Runs an attempt and yields its answer.
 
     Args:
@@ -62,7 +62,7 @@
         url: Its base URL.
         attempt: What to run.
         limits: Bounds of the call.
-        report: Told what the engine says it runs on, before any of the
+        check_model: Told what the engine says it runs on, before any of the
             answer is passed on; returns whether to go on.
 
     Yields:
@@ -83,7 +83,7 @@
             content=attempt.body,
             extensions={"timeout": {"connect": timeout_s, "write": timeout_s}},
         ) as response:
-            parts = _read(response, attempt, limits, report)
+            parts = _read(response, attempt, limits, check_model)
             async with contextlib.aclosing(parts):
                 async for part in parts:
                     yield part
@@ -105,8 +105,8 @@
     response: httpcore.Response,
     attempt: attempt_lib.Attempt,
     limits: Limits,
-    report: Report,
-) -> AsyncIterator[Part]:
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
     head = Head(response.status, _content_type(response))
     if attempt.adapter and head.status == NOT_FOUND:
         # The engine restarted cold since the dispatch. It refuses a model
@@ -118,9 +118,9 @@
         )
         return
     if attempt.adapter and head.content_type.startswith(EVENT_STREAM):
-        parts = _read_events(response, head, attempt, report)
+        parts = _read_events(response, head, attempt, check_model)
     else:
-        parts = _read_whole(response, head, attempt, limits, report)
+        parts = _read_whole(response, head, attempt, limits, check_model)
     async with contextlib.aclosing(parts):
         async for part in parts:
             yield part
@@ -131,8 +131,8 @@
     head: Head,
     attempt: attempt_lib.Attempt,
     limits: Limits,
-    report: Report,
-) -> AsyncIterator[Part]:
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
     pieces = []
     size_bytes = 0
     async for piece in response.aiter_stream():
@@ -146,12 +146,12 @@
         pieces.append(piece)
     body = b"".join(pieces)
     if attempt.adapter:
-        if head.status >= FIRST_SERVER_ERROR:
+        if head.status >= MIN_SERVER_ERROR_STATUS:
             yield result.Failure(
                 result.TARGET_FAILED, f"the engine answered {head.status}"
             )
             return
-        if head.status == OK and not report(_model_of(body)):
+        if head.status == OK and not check_model(_parse_model(body)):
             return
     yield head
     yield body
@@ -161,8 +161,8 @@
     response: httpcore.Response,
     head: Head,
     attempt: attempt_lib.Attempt,
-    report: Report,
-) -> AsyncIterator[Part]:
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
     """Passes events on as they come, whole answers only.
 
     The first event is parsed and holds the adapter that ran. Later ones are
@@ -175,13 +175,15 @@
         first += piece
         if EVENT_END in first:
             break
-    if not report(_model_of_event(first)):
+    if not check_model(_parse_event_model(first)):
         return
     yield head
     yield first
     tail = first[-len(DONE_EVENT) - 8 :]
     async for piece in stream:
-        if name not in piece and not _same_model(piece, attempt, report):
+        if name not in piece and not _check_piece_model(
+            piece, attempt, check_model
+        ):
             return
         yield piece
         tail = (tail + piece)[-len(DONE_EVENT) - 8 :]
@@ -191,7 +193,7 @@
         )
 
 
-def _model_of(body: bytes) -> str:
+def _parse_model(body: bytes) -> str:
     try:
         value = json.loads(body)
     except ValueError:
@@ -199,20 +201,20 @@
     return str(value.get("model", "")) if isinstance(value, dict) else ""
 
 
-def _model_of_event(data: bytes) -> str:
+def _parse_event_model(data: bytes) -> str:
     line = data.partition(EVENT_END)[0].strip()
-    return _model_of(line.removeprefix(DATA_PREFIX))
+    return _parse_model(line.removeprefix(DATA_PREFIX))
 
 
-def _same_model(
-    piece: bytes, attempt: attempt_lib.Attempt, report: Report
+def _check_piece_model(
+    piece: bytes, attempt: attempt_lib.Attempt, check_model: ModelCheck
 ) -> bool:
     """Parses a piece that does not name the adapter literally."""
     for event in piece.split(EVENT_END):
         line = event.strip()
         if not line.startswith(DATA_PREFIX) or line == DONE_EVENT:
             continue
-        model = _model_of_event(line)
+        model = _parse_event_model(line)
         if model and model != attempt.adapter:
-            return report(model)
+            return check_model(model)
     return True
--- a/packages/radishd/src/radishd/request/error_body.py
+++ b/packages/radishd/src/radishd/request/error_body.py
@@ -40,6 +40,6 @@
     return pairs
 
 
-def event(failure: result.Failure) -> bytes:
+def encode_event(failure: result.Failure) -> bytes:
     """Renders a failure as the last event of a stream that was cut."""
     return b"event: error\ndata: " + encode(failure) + b"\n\n"
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -32,22 +32,22 @@
 from radishd.process import load_requests as load_requests_lib
 from radishd.process import rate_limits as rate_limits_lib
 from radishd.process import web
-from radishd.request import gateway_port
+from radishd.request import gateway_interface
 
 MS_PER_S = 1_000
-# When to come back after a refusal, by what it takes to change: a full or
+# When to come back after a rejection, by what it takes to change: a full or
 # restarted target is another one's turn at once.
 SHED_RETRY_MS = (30, 150)
 NO_TARGET_RETRY_MS = (300, 900)
 # Part of its objective that a request may wait for its adapter, however late
 # engines answer.
-MIN_WAIT_PART = 0.5
+MIN_WAIT_FRACTION = 0.5
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 PRIORITY_MAX = 9
 
 Outcome = forwarding.Outcome
 # Ends of a send by which a target that has ended shows.
-_BROKEN_OFF = frozenset({Outcome.LOST, Outcome.SPOILED})
+_POSSIBLE_CRASH = frozenset({Outcome.LOST, Outcome.SPOILED})
 # Ends of a send that prove that the request did not run.
 _NOT_RUN = frozenset(
     {Outcome.UNSENT, Outcome.SHED, Outcome.MISMATCH, Outcome.GONE}
@@ -55,7 +55,7 @@
 _Part = TypeVar("_Part")
 
 
-class CutError(Exception):
+class ResponseAbortedError(Exception):
     """An answer that has begun cannot be ended whole; cut it visibly."""
 
 
@@ -66,10 +66,10 @@
     return Outcome.SILENT if lost.silent else Outcome.LOST
 
 
-class Pace(enum.Enum):
+class ReadTimeout(enum.Enum):
     """Marks that a peer was silent for longer than was allowed."""
 
-    SILENT = "silent"
+    IDLE = "silent"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,13 +86,13 @@
 
     def __init__(
         self,
-        gateway: gateway_port.GatewayPort,
+        gateway: gateway_interface.GatewayInterface,
         request: front.Request,
         admission: admission_lib.Admission,
         body: bytes,
         send: web.Send,
         arrived_at_ms: int,
-        booking: usage_books.Booking | None = None,
+        reservation: usage_books.Booking | None = None,
     ) -> None:
         """Starts with a request that has been read whole.
 
@@ -103,7 +103,7 @@
             body: Its body.
             send: Where the answer goes.
             arrived_at_ms: When it arrived.
-            booking: What pays for it under the usage cap of its account.
+            reservation: What pays for it under the usage cap of its account.
         """
         self.gateway = gateway
         self.request = request
@@ -117,18 +117,18 @@
             caller_ms = arrived_at_ms + request.left_ms
             self.deadline_at_ms = min(self.deadline_at_ms, caller_ms)
         self.arrived_at_ms = arrived_at_ms
-        self._booking = booking
-        self.began = False
+        self._reservation = reservation
+        self.response_started = False
         self.events = event_stream.EventStream()
         self.events.last_id = request.last_event_id
         self.failure: result.Failure | None = None
-        self.trail: list[str] = []
+        self.send_history: list[str] = []
         self.status = 0
         self.sent = False
         self.sent_at_ms = 0
-        self.known_fingerprint = ""
+        self.cached_fingerprint = ""
         self.is_trial = False
-        self._rate_booking: rate_limits_lib.Booking | None = None
+        self._rate_reservation: rate_limits_lib.Booking | None = None
         self._send = send
         spec = gateway.table.services.get(self.service)
         self.needs_adapter = bool(
@@ -137,25 +137,25 @@
 
     def fingerprint(self) -> str:
         """Returns what it asks, computed once it is needed."""
-        if not self.known_fingerprint:
-            self.known_fingerprint = fingerprint_lib.of_request(
+        if not self.cached_fingerprint:
+            self.cached_fingerprint = fingerprint_lib.of_request(
                 self.request.method,
                 self.request.host,
                 self.request.target,
                 self.body,
                 self.admission.account_name,
             )
-        return self.known_fingerprint
+        return self.cached_fingerprint
 
     def release(self) -> None:
         """Gives back the bookings of a request that was not sent."""
-        self._release_rate_booking()
+        self._release_rate_reservation()
         if not self.sent:
-            self.gateway.usage_caps.give_back(self._booking)
+            self.gateway.usage_caps.give_back(self._reservation)
 
-    def _release_rate_booking(self) -> None:
-        booking, self._rate_booking = self._rate_booking, None
-        self.gateway.rate_limits.give_back(booking)
+    def _release_rate_reservation(self) -> None:
+        reservation, self._rate_reservation = self._rate_reservation, None
+        self.gateway.rate_limits.give_back(reservation)
 
     def left_ms(self) -> int:
         """Returns how long the caller still waits."""
@@ -168,34 +168,34 @@
             await self._serve()
         if not scope.cancelled_caught:
             return
-        if self.began:
+        if self.response_started:
             self.failure = result.Failure(
                 result.ROUTE_TIMEOUT, "the stream had not ended in time"
             )
-            raise CutError
+            raise ResponseAbortedError
         await self.reply(self.state.timed_out(sent=self.sent))
 
     async def _serve(self) -> None:
         while True:
-            placed = await self._place()
-            if isinstance(placed, result.Failure):
-                await self._give_up(placed)
+            chosen = await self._choose_target()
+            if isinstance(chosen, result.Failure):
+                await self._fail(chosen)
                 return
-            member, version = placed
-            booking = self.gateway.usage_caps.rebook(self._booking)
-            if isinstance(booking, result.Failure):
-                await self._give_up(booking)
+            member, version = chosen
+            reservation = self.gateway.usage_caps.rebook(self._reservation)
+            if isinstance(reservation, result.Failure):
+                await self._fail(reservation)
                 return
-            self._booking = booking
-            outcome = await self._try(member, version)
+            self._reservation = reservation
+            outcome = await self._send_to_target(member, version)
             if outcome is None:
                 return
             instance = member.listing.instance
-            self.trail.append(f"{instance}:{outcome.value}")
+            self.send_history.append(f"{instance}:{outcome.value}")
             self.gateway.metrics.sends.inc({"outcome": outcome.value})
             step = self._next_step(member, outcome)
             if step is forwarding.Step.GIVE_UP:
-                await self._give_up(self.state.failure)
+                await self._fail(self.state.failure)
                 return
             if step is forwarding.Step.SEND_LATER:
                 pause_ms = self.gateway.spread(SHED_RETRY_MS)
@@ -207,20 +207,20 @@
         gateway = self.gateway
         gateway.evidence.record_outcome(member, outcome, self.request.adapter)
         if outcome in _NOT_RUN:
-            gateway.usage_caps.give_back(self._booking)
-        if outcome in _BROKEN_OFF:
+            gateway.usage_caps.give_back(self._reservation)
+        if outcome in _POSSIBLE_CRASH:
             gateway.evidence.record_aborted_response(
                 member, self.fingerprint(), self.sent_at_ms
             )
         paid = True
         if outcome is not Outcome.UNSENT:
-            retries = not self.state.may_have_run and outcome in (
+            is_safe_retry = not self.state.may_have_run and outcome in (
                 Outcome.SHED,
                 Outcome.MISMATCH,
                 Outcome.GONE,
             )
-            worth_paying = self.route.repeatable or retries
-            paid = worth_paying and gateway.budget(self.service).spend(
+            may_resend = self.route.repeatable or is_safe_retry
+            paid = may_resend and gateway.budget(self.service).spend(
                 clock.boot_ms()
             )
         return self.state.ended(
@@ -228,27 +228,29 @@
             outcome,
             self.left_ms(),
             paid=paid,
-            begun=self.began,
+            begun=self.response_started,
         )
 
-    async def _place(
+    async def _choose_target(
         self,
     ) -> tuple[roster_lib.Member, int] | result.Failure:
         gateway = self.gateway
         if not self.needs_adapter:
-            refusal = self._refusal()
-            if refusal is not None:
-                return refusal
+            rejection = self._rejection()
+            if rejection is not None:
+                return rejection
             now_ms = clock.boot_ms()
-            member = gateway.placement.plain(self._usable(now_ms), now_ms)
-            if member is None or not self._book_rate(member):
-                return self._no_target()
+            member = gateway.placement.plain(
+                self._usable_targets(now_ms), now_ms
+            )
+            if member is None or not self._reserve_rate(member):
+                return self._no_target_failure()
             return member, 0
-        return await self._place_adapter()
+        return await self._choose_engine()
 
-    def _refusal(self) -> result.Failure | None:
+    def _rejection(self) -> result.Failure | None:
         """Returns why it is sent to no target, None if it may be sent."""
-        if not self.began:
+        if not self.response_started:
             failure = admission_lib.readmit(
                 self.gateway.table, self.admission, self.request.key_digest
             )
@@ -279,11 +281,11 @@
             max(quarantine.left_ms, crash_evidence.TRIAL_MS),
         )
 
-    def _note_end(self) -> None:
+    def _record_completion(self) -> None:
         """Records that a target ran it to its end, and still runs."""
         self.gateway.crash_gossip.ended_well(self.fingerprint())
 
-    def _allowed(self, now_ms: int) -> list[roster_lib.Member]:
+    def _allowed_targets(self, now_ms: int) -> list[roster_lib.Member]:
         """Returns the targets that may run it, regardless of rate limits."""
         return [
             member
@@ -291,9 +293,9 @@
             if self.state.allows(member.listing.instance)
         ]
 
-    def _usable(self, now_ms: int) -> list[roster_lib.Member]:
+    def _usable_targets(self, now_ms: int) -> list[roster_lib.Member]:
         """Returns the targets that it may be sent to within rate limits."""
-        allowed = self._allowed(now_ms)
+        allowed = self._allowed_targets(now_ms)
         limits = self.gateway.rate_limits
         limited = [one for one in allowed if limits.is_limited(one)]
         if not limited:
@@ -301,7 +303,7 @@
         below_limit = [
             member
             for member in limited
-            if limits.is_booked(self._rate_booking, member)
+            if limits.is_booked(self._rate_reservation, member)
             or limits.may_send(member, now_ms)
         ]
         unlimited = [one for one in allowed if one not in limited]
@@ -316,16 +318,16 @@
             ]
         return unlimited + below_limit
 
-    def _book_rate(self, member: roster_lib.Member) -> bool:
+    def _reserve_rate(self, member: roster_lib.Member) -> bool:
         """Books a send against a target's rate limit; returns success."""
         limits = self.gateway.rate_limits
-        if limits.is_booked(self._rate_booking, member):
+        if limits.is_booked(self._rate_reservation, member):
             return True
-        self._release_rate_booking()
-        self._rate_booking = limits.book(member)
-        return self._rate_booking is not None
+        self._release_rate_reservation()
+        self._rate_reservation = limits.book(member)
+        return self._rate_reservation is not None
 
-    async def _place_adapter(
+    async def _choose_engine(
         self,
     ) -> tuple[roster_lib.Member, int] | result.Failure:
         gateway = self.gateway
@@ -336,19 +338,19 @@
             began_ms=clock.boot_ms(),
             left_ms=self.left_ms(),
             due_at_ms=due_at_ms,
-            begun=self.began,
+            begun=self.response_started,
             random_source=gateway.random,
         )
         load_request = load_requests_lib.LoadRequest(adapter, due_at_ms)
         try:
             while True:
-                refusal = self._refusal()
-                if refusal is not None:
-                    return refusal
+                rejection = self._rejection()
+                if rejection is not None:
+                    return rejection
                 now_ms = clock.boot_ms()
                 if gateway.draining:
                     waiting.end_by(gateway.waits_end_at_ms)
-                usable = self._usable(now_ms)
+                usable = self._usable_targets(now_ms)
                 choice = gateway.placement.choose(
                     adapter, usable, now_ms, waiting.patience(now_ms)
                 )
@@ -356,12 +358,13 @@
                 if member is not None:
                     # Booked before the load, because a load at a limited target
                     # only helps a request that may be sent there.
-                    self._book_rate(member)
+                    self._reserve_rate(member)
                 await gateway.load_requests.follow(load_request, choice)
                 # A stream that has started cannot be rejected any more, so it
                 # waits for a rate-limited target.
                 any_usable = bool(usable) or (
-                    self.began and bool(self._allowed(now_ms))
+                    self.response_started
+                    and bool(self._allowed_targets(now_ms))
                 )
                 step = waiting.decide(
                     choice, any_usable=any_usable, now_ms=now_ms
@@ -370,7 +373,7 @@
                     case waiting_lib.Send():
                         return step.member, step.version
                     case waiting_lib.NoTarget():
-                        return self._no_target()
+                        return self._no_target_failure()
                     case result.Failure():
                         return step
                 with anyio.move_on_after(step.pause_ms / MS_PER_S):
@@ -380,19 +383,19 @@
 
     def _due_at_ms(self) -> int:
         """Returns when it must be sent to be answered in time."""
-        if self.began:
+        if self.response_started:
             return clock.boot_ms()
         answer_ms = self.gateway.roster.usual_latency_ms(self.service)
         objective_ms = self.route.objective_ms
         # Where engines answer late in any case, waits are kept short but not
         # all refused.
-        due_ms = max(objective_ms - answer_ms, MIN_WAIT_PART * objective_ms)
+        due_ms = max(objective_ms - answer_ms, MIN_WAIT_FRACTION * objective_ms)
         return self.arrived_at_ms + round(due_ms)
 
-    def _no_target(self) -> result.Failure:
+    def _no_target_failure(self) -> result.Failure:
         if self.state.failure is not None:
             return self.state.failure
-        limited = self._allowed(clock.boot_ms())
+        limited = self._allowed_targets(clock.boot_ms())
         if limited and not self.state.may_have_run:
             return self.gateway.rate_limits.rejection(self.service, limited)
         code = result.NO_TARGET
@@ -408,7 +411,7 @@
             backoff_ms + retry_after_ms,
         )
 
-    async def _try(
+    async def _send_to_target(
         self, member: roster_lib.Member, version: int
     ) -> Outcome | None:
         """Sends to one target; returns None once the caller is answered."""
@@ -424,23 +427,23 @@
             )
             if isinstance(connection, http_client.Lost):
                 return Outcome.UNSENT
-            send = self._start(member, connection, version)
+            send = self._write_request(member, connection, version)
             member.health.unanswered[self] = send.sent_at_ms
-            return await self._answer(send)
+            return await self._handle_response(send)
         except anyio.get_cancelled_exc_class():
             # The route's time passed, or the caller left: the log is to tell
             # which target had the request.
-            self.trail.append(f"{listing.instance}:unfinished")
+            self.send_history.append(f"{listing.instance}:unfinished")
             raise
         finally:
             member.health.in_flight -= 1
-            self._settle_silence(member)
+            self._record_if_unanswered(member)
             if self.needs_adapter:
                 gateway.load_requests.ended(member, self.request.adapter)
             if isinstance(connection, http_client.Connection):
                 gateway.discard(connection)
 
-    def _settle_silence(self, member: roster_lib.Member) -> None:
+    def _record_if_unanswered(self, member: roster_lib.Member) -> None:
         """Counts a send that ends without a first byte after a long wait."""
         sent_at_ms = member.health.unanswered.pop(self, None)
         if sent_at_ms is None:
@@ -448,7 +451,7 @@
         if clock.boot_ms() - sent_at_ms > placement_lib.ENGINE_PATIENCE_MS:
             self.gateway.evidence.record_silence(member)
 
-    def _start(
+    def _write_request(
         self,
         member: roster_lib.Member,
         connection: http_client.Connection,
@@ -476,51 +479,51 @@
             account=self.admission.account_name,
         )
         self.sent = True
-        self._rate_booking = None
+        self._rate_reservation = None
         self.sent_at_ms = clock.boot_ms()
         connection.send(data)
         return Send(member, connection, self.sent_at_ms)
 
-    async def _answer(self, send: Send) -> Outcome | None:
-        head = await self._head(send)
+    async def _handle_response(self, send: Send) -> Outcome | None:
+        head = await self._read_head(send)
         if isinstance(head, http_client.Head):
             send.member.health.unanswered.pop(self, None)
-        if head is Pace.SILENT:
+        if head is ReadTimeout.IDLE:
             return Outcome.SILENT
         if isinstance(head, http_client.Lost):
             return _outcome_of(head)
         instance = send.member.listing.instance
         match front.classify(head, self.request.attempt_id, instance):
             case front.Kind.SHED:
-                return await self._drained(send, Outcome.SHED)
+                return await self._read_rejection(send, Outcome.SHED)
             case front.Kind.MISMATCH:
-                return await self._drained(send, Outcome.MISMATCH)
+                return await self._read_rejection(send, Outcome.MISMATCH)
             case front.Kind.GONE:
-                return await self._drained(send, Outcome.GONE)
+                return await self._read_rejection(send, Outcome.GONE)
             case front.Kind.SPOILED:
                 return Outcome.SPOILED
             case front.Kind.UNPROVEN_PROMISE:
                 return Outcome.FAILED
             case front.Kind.FAILURE:
-                return await self._failure(send, head)
+                return await self._handle_failure_response(send, head)
         if self.route.streams:
-            return await self._stream(send, head)
-        return await self._whole(send, head)
+            return await self._forward_stream(send, head)
+        return await self._forward_buffered(send, head)
 
-    async def _head(
+    async def _read_head(
         self, send: Send
-    ) -> http_client.Head | http_client.Lost | Pace:
+    ) -> http_client.Head | http_client.Lost | ReadTimeout:
         """Waits for the head of the answer to this very attempt."""
         connection = send.connection
         instance = send.member.listing.instance
         while True:
-            head = await self._read(send, connection.head)
+            head = await self._read_with_timeout(send, connection.head)
             if not isinstance(head, http_client.Head):
                 return head
-            news = front.target_signals(head, instance)
-            if news != front.NO_SIGNALS:
+            signals = front.target_signals(head, instance)
+            if signals != front.NO_SIGNALS:
                 self.gateway.evidence.apply_target_signals(
-                    send.member, news, self.request.attempt_id
+                    send.member, signals, self.request.attempt_id
                 )
             kind = front.classify(head, self.request.attempt_id, instance)
             is_late = kind is front.Kind.FOREIGN
@@ -539,60 +542,64 @@
             if lost is not None:
                 return lost
 
-    async def _read(
+    async def _read_with_timeout(
         self, send: Send, read: Callable[[], Awaitable[_Part]]
-    ) -> _Part | Pace:
+    ) -> _Part | ReadTimeout:
         """Reads from a target until it has been silent for too long."""
         began_ms = clock.boot_ms()
         while True:
-            patience_ms = self._patience_ms(send)
-            left_ms = began_ms + patience_ms - clock.boot_ms()
+            idle_timeout_ms = self._idle_timeout_ms(send)
+            left_ms = began_ms + idle_timeout_ms - clock.boot_ms()
             if left_ms <= 0:
-                return Pace.SILENT
+                return ReadTimeout.IDLE
             with anyio.move_on_after(left_ms / MS_PER_S):
                 return await read()
 
-    def _patience_ms(self, send: Send) -> float:
+    def _idle_timeout_ms(self, send: Send) -> float:
         """Returns how long a target may be silent before it is left."""
         left_ms = max(0, self.left_ms())
-        movable = (
+        can_reroute = (
             self.route.repeatable
             and self.state.may_use_another
             and self.gateway.has_other(self.service, send.member)
         )
-        if self.began and self.needs_adapter:
+        if self.response_started and self.needs_adapter:
             # Silence alone is no reason to break off what has begun: without
             # a place where it goes on at once, it may only pause.
-            movable = movable and self._has_holder(send.member)
-        if not movable:
+            can_reroute = can_reroute and self._can_continue_elsewhere(
+                send.member
+            )
+        if not can_reroute:
             return self.route.timeout_ms + MS_PER_S
         silence_ms = silence.allowed_ms(
             self.route,
             send.member.health,
-            begun=self.began,
+            begun=self.response_started,
             now_ms=clock.boot_ms(),
         )
         if left_ms < 2 * silence_ms:
             return self.route.timeout_ms + MS_PER_S
         return silence_ms
 
-    def _has_holder(self, member: roster_lib.Member) -> bool:
+    def _can_continue_elsewhere(self, member: roster_lib.Member) -> bool:
         """Whether another target could go on with a stream now."""
         now_ms = clock.boot_ms()
-        others = [one for one in self._usable(now_ms) if one is not member]
+        others = [
+            one for one in self._usable_targets(now_ms) if one is not member
+        ]
         choice = self.gateway.placement.choose(
             self.request.adapter, others, now_ms
         )
         return choice.send is not None
 
-    async def _drained(self, send: Send, outcome: Outcome) -> Outcome:
-        """Reads a refusal to its end, so that its connection can be kept."""
+    async def _read_rejection(self, send: Send, outcome: Outcome) -> Outcome:
+        """Reads a rejection to its end, so that its connection can be kept."""
         body = await http_client.read_body(send.connection)
         if not isinstance(body, http_client.Lost):
             self.gateway.release(send.member.listing.address, send.connection)
         return outcome
 
-    async def _failure(
+    async def _handle_failure_response(
         self, send: Send, head: http_client.Head
     ) -> Outcome | None:
         """Passes a target's failure on, unless another target may do."""
@@ -600,11 +607,11 @@
         if isinstance(body, http_client.Lost):
             return _outcome_of(body)
         self.gateway.release(send.member.listing.address, send.connection)
-        self._note_end()
+        self._record_completion()
         instance = send.member.listing.instance
         may_retry = (
             self.route.repeatable
-            and not self.began
+            and not self.response_started
             and self.state.may_use_another
             and self.state.sends < forwarding.MAX_SENDS
             and self.left_ms() > forwarding.MIN_LEFT_MS
@@ -614,14 +621,14 @@
             clock.boot_ms()
         ):
             return Outcome.FAILED
-        if self.began:
+        if self.response_started:
             return Outcome.FAILED
         self.gateway.evidence.record_error_response(send.member, head.status)
-        self.trail.append(f"{instance}:{head.status}")
-        await self._reply_whole(head, body)
+        self.send_history.append(f"{instance}:{head.status}")
+        await self._reply_buffered(head, body)
         return None
 
-    async def _whole(
+    async def _forward_buffered(
         self, send: Send, head: http_client.Head
     ) -> Outcome | None:
         """Passes an answer on once it is there whole.
@@ -632,8 +639,8 @@
         pieces: list[bytes] = []
         size_bytes = 0
         while True:
-            piece = await self._read(send, send.connection.chunk)
-            if piece is Pace.SILENT:
+            piece = await self._read_with_timeout(send, send.connection.chunk)
+            if piece is ReadTimeout.IDLE:
                 return Outcome.SILENT
             if isinstance(piece, http_client.Lost):
                 return _outcome_of(piece)
@@ -643,25 +650,27 @@
             size_bytes += len(piece)
             if size_bytes > MAX_BUFFERED_BYTES:
                 return Outcome.SPOILED
-        self._note_success(send)
-        self._note_end()
+        self._record_success(send)
+        self._record_completion()
         self.gateway.release(send.member.listing.address, send.connection)
-        await self._reply_whole(head, b"".join(pieces))
+        await self._reply_buffered(head, b"".join(pieces))
         return None
 
-    def _note_success(self, send: Send) -> None:
+    def _record_success(self, send: Send) -> None:
         now_ms = clock.boot_ms()
         instance = send.member.listing.instance
         took_ms = now_ms - send.sent_at_ms
         self.gateway.evidence.record_success(send.member, took_ms)
         self.gateway.metrics.sends.inc({"outcome": "answered"})
-        self.trail.append(f"{instance}:ok")
+        self.send_history.append(f"{instance}:ok")
         first_ms = now_ms - self.arrived_at_ms
         self.gateway.metrics.first_byte_ms.observe(
             {"service": self.service}, first_ms
         )
 
-    async def _reply_whole(self, head: http_client.Head, body: bytes) -> None:
+    async def _reply_buffered(
+        self, head: http_client.Head, body: bytes
+    ) -> None:
         self.status = head.status
         headers = front.response_headers(head)
         headers.append((b"content-length", b"%d" % len(body)))
@@ -670,37 +679,37 @@
     async def _respond(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        self.began = True
+        self.response_started = True
         if self.gateway.draining:
             headers.append((b"connection", b"close"))
         await web.reply(self._send, status, headers, body)
 
-    async def _stream(
+    async def _forward_stream(
         self, send: Send, head: http_client.Head
     ) -> Outcome | None:
         """Passes whole events on as they come."""
         self.events.restart()
         health = send.member.health
-        noted = False
-        heard_at_ms = clock.boot_ms()
+        success_recorded = False
+        last_read_at_ms = clock.boot_ms()
         while True:
-            piece = await self._read(send, send.connection.chunk)
-            if piece is Pace.SILENT:
+            piece = await self._read_with_timeout(send, send.connection.chunk)
+            if piece is ReadTimeout.IDLE:
                 return Outcome.SILENT
             if isinstance(piece, http_client.Lost):
                 return _outcome_of(piece)
             if not piece:
-                return await self._end_stream(send, head)
+                return await self._finish_stream(send, head)
             now_ms = clock.boot_ms()
-            health.progressed(now_ms - heard_at_ms, now_ms)
-            heard_at_ms = now_ms
+            health.progressed(now_ms - last_read_at_ms, now_ms)
+            last_read_at_ms = now_ms
             events = self.events.feed(piece)
             if not events:
                 continue
-            if not noted:
-                noted = True
-                self._note_success(send)
-            await self._begin_stream(head)
+            if not success_recorded:
+                success_recorded = True
+                self._record_success(send)
+            await self._send_stream_head(head)
             await self._send(
                 {
                     "type": "http.response.body",
@@ -709,10 +718,10 @@
                 }
             )
 
-    async def _begin_stream(self, head: http_client.Head) -> None:
-        if self.began:
+    async def _send_stream_head(self, head: http_client.Head) -> None:
+        if self.response_started:
             return
-        self.began = True
+        self.response_started = True
         self.status = head.status
         headers = front.response_headers(head)
         if self.gateway.draining:
@@ -725,26 +734,26 @@
             }
         )
 
-    async def _end_stream(
+    async def _finish_stream(
         self, send: Send, head: http_client.Head
     ) -> Outcome | None:
-        self._note_end()
+        self._record_completion()
         self.gateway.release(send.member.listing.address, send.connection)
-        await self._begin_stream(head)
+        await self._send_stream_head(head)
         rest = self.events.rest()
         await self._send({"type": "http.response.body", "body": rest})
         return None
 
-    async def _give_up(self, failure: result.Failure) -> None:
+    async def _fail(self, failure: result.Failure) -> None:
         self.failure = failure
-        if self.began:
+        if self.response_started:
             # An end that looks whole would pass for the whole answer.
-            raise CutError
-        proven_unrun = failure.executed is result.Executed.NO
-        if proven_unrun and self.state.may_have_run:
+            raise ResponseAbortedError
+        proven_not_run = failure.executed is result.Executed.NO
+        if proven_not_run and self.state.may_have_run:
             # That no target takes it now proves nothing of the send before.
             failure = result.Failure(result.OUTCOME_UNKNOWN, failure.message)
-        elif proven_unrun and not failure.retry_after_ms:
+        elif proven_not_run and not failure.retry_after_ms:
             failure = dataclasses.replace(
                 failure, retry_after_ms=self.gateway.spread(SHED_RETRY_MS)
             )
--- a/packages/radishd/src/radishd/request/gateway_port.py
+++ b/packages/radishd/src/radishd/request/gateway_interface.py
@@ -23,7 +23,7 @@
 from radishd.process import usage_caps
 
 
-class GatewayPort(typing.Protocol):
+class GatewayInterface(typing.Protocol):
     """One gateway, as a forwarded request sees it.
 
     Attributes:
--- a/packages/radishd/src/radishd/request/intake.py
+++ b/packages/radishd/src/radishd/request/intake.py
@@ -51,9 +51,9 @@
 
 def request_id_of(headers: dict[str, str]) -> str:
     """Returns the caller's request id, or a new one."""
-    given = headers.get("x-request-id", "")
-    if given.isascii() and given.isprintable() and given:
-        return given[:MAX_REQUEST_ID_CHARS]
+    caller_id = headers.get("x-request-id", "")
+    if caller_id.isascii() and caller_id.isprintable() and caller_id:
+        return caller_id[:MAX_REQUEST_ID_CHARS]
     return secrets.token_hex(REQUEST_ID_BYTES)
 
 
@@ -189,8 +189,8 @@
             "the body needs a text field model: a service, an adapter or "
             "adapter@version",
         )
-    wrong = _check_content(fields)
-    return fields if wrong is None else wrong
+    failure = _check_content(fields)
+    return fields if failure is None else failure
 
 
 def _check_content(fields: dict[str, object]) -> result.Failure | None:
@@ -214,10 +214,10 @@
     return None
 
 
-def _malformed(path: str, value: object, wanted: str) -> result.Failure:
+def _malformed(path: str, value: object, expected: str) -> result.Failure:
     return result.Failure(
         result.BODY_MALFORMED,
-        f"{path} is {checks.shorten(value)}; it must be {wanted}",
+        f"{path} is {checks.shorten(value)}; it must be {expected}",
     )
 
 
--- a/packages/radishd/src/radishd/request/serving.py
+++ b/packages/radishd/src/radishd/request/serving.py
@@ -27,7 +27,9 @@
     stream: int
 
 
-def refusal_of(failure: result.Failure, load: load_lib.Load) -> frame.Refusal:
+def refusal_frame(
+    failure: result.Failure, load: load_lib.Load
+) -> frame.Refusal:
     """Renders a failure as a frame."""
     return frame.Refusal(
         code=failure.code.number,
@@ -38,7 +40,7 @@
     )
 
 
-class Serving:
+class ServedRun:
     """A run with its readers on their connections."""
 
     def __init__(self, *, adapter: str, keep_bytes: int) -> None:
@@ -57,23 +59,23 @@
         self.heard_at_ms = 0
         self.orphaned_at_ms = 0
         self.kept_bytes = 0
-        self._drained = anyio.Event()
+        self._backlog_changed = anyio.Event()
 
     def attach(self, reader: ReaderId, next_number: int) -> bool:
         """Adds a reader; False if the chunks it lacks are gone."""
         attached = self.run.attach(reader, next_number)
-        self._drained.set()
+        self._backlog_changed.set()
         return attached
 
     def detach(self, reader: ReaderId) -> None:
         """Removes a reader."""
         self.run.detach(reader)
         self.heads_sent.discard(reader)
-        self._drained.set()
+        self._backlog_changed.set()
 
-    def refuse(self, failure: result.Failure, load: load_lib.Load) -> None:
+    def reject(self, failure: result.Failure, load: load_lib.Load) -> None:
         """Answers all readers with a failure and removes them."""
-        refusal = refusal_of(failure, load)
+        refusal = refusal_frame(failure, load)
         for reader in list(self.run.readers):
             reader.writer.write(frame.encode(reader.stream, refusal))
             self.detach(reader)
@@ -106,23 +108,23 @@
     def ack(self, reader: ReaderId, acked: int, load: load_lib.Load) -> None:
         """Handles a reader's acknowledgement and sends it more."""
         self.run.ack(reader, acked)
-        self._drained.set()
+        self._backlog_changed.set()
         if reader in self.run.readers:
             self._flush_one(reader, load)
 
     @property
-    def behind(self) -> bool:
+    def is_backlogged(self) -> bool:
         """Whether the slowest reader is two windows behind."""
         return self.run.backlog_chunks() >= 2 * WINDOW_CHUNKS
 
-    async def wait_for_room(self) -> None:
+    async def wait_for_readers(self) -> None:
         """Waits while the slowest reader is two windows behind.
 
         The target is then not read either, so what one slow caller can hold
         in memory is bounded, and other streams go on.
         """
-        while self.behind:
+        while self.is_backlogged:
             if self.run.keep_bytes and not self.run.readers:
                 return
-            self._drained = anyio.Event()
-            await self._drained.wait()
+            self._backlog_changed = anyio.Event()
+            await self._backlog_changed.wait()
--- a/packages/radishd/src/radishd/request/target_actions.py
+++ b/packages/radishd/src/radishd/request/target_actions.py
@@ -48,7 +48,7 @@
     process.metrics.refusals.inc({"code": str(action.failure.code.number)})
     serving = process.servings.get(action.attempt_id)
     if serving is not None:
-        serving.refuse(action.failure, process.load())
+        serving.reject(action.failure, process.load())
     process.drop(action.attempt_id)
 
 
@@ -56,20 +56,20 @@
 def _join(action: event_lib.Join, process: target_lib.TargetProcess) -> None:
     if action.attempt_id == action.owner_id:
         return
-    own = process.servings.pop(action.attempt_id, None)
+    joining = process.servings.pop(action.attempt_id, None)
     owner = process.servings.get(action.owner_id)
-    if own is None:
+    if joining is None:
         return
     if owner is None or not owner.run.whole:
         failure = result.Failure(
             result.ANSWER_NOT_KEPT,
             "this key ran, and its answer was too large to keep",
         )
-        own.refuse(failure, process.load())
+        joining.reject(failure, process.load())
         process.owners.pop(action.attempt_id, None)
         return
     process.owners[action.attempt_id] = action.owner_id
-    for reader in list(own.run.readers):
+    for reader in list(joining.run.readers):
         owner.attach(reader, 0)
     owner.flush(process.load())
 
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -108,7 +108,7 @@
             random_source=random_source,
             budget=load_budget.BudgetSettings(own.site_loads_per_s),
         )
-        self.servings: dict[bytes, serving_lib.Serving] = {}
+        self.servings: dict[bytes, serving_lib.ServedRun] = {}
         self.owners: dict[bytes, bytes] = {}
         self.kept_bytes = 0
         self._busy = anyio.Event()
@@ -142,7 +142,7 @@
         """Handles an attempt from a connection."""
         if attempt.attempt_id not in self.owners:
             keep_bytes = self.own.keep_bytes if attempt.key else 0
-            serving = serving_lib.Serving(
+            serving = serving_lib.ServedRun(
                 adapter=attempt.adapter, keep_bytes=keep_bytes
             )
             serving.attach(reader, 0)
@@ -168,7 +168,7 @@
             failure = result.Failure(
                 result.RUN_UNKNOWN, "this process does not hold that run"
             )
-            refusal = serving_lib.refusal_of(failure, self.load())
+            refusal = serving_lib.refusal_frame(failure, self.load())
             reader.writer.write(frame.encode(reader.stream, refusal))
             return
         serving.orphaned_at_ms = 0
@@ -184,7 +184,7 @@
             The run's id, by which the reader leaves it.
         """
         run_id = secrets.token_bytes(frame.ATTEMPT_ID_BYTES)
-        serving = serving_lib.Serving(adapter="", keep_bytes=0)
+        serving = serving_lib.ServedRun(adapter="", keep_bytes=0)
         self.servings[run_id] = serving
         self.owners[run_id] = run_id
         serving.attach(reader, 0)
@@ -194,7 +194,7 @@
         serving.flush(self.load())
         return run_id
 
-    def serving_of(self, attempt_id: bytes) -> serving_lib.Serving | None:
+    def serving_of(self, attempt_id: bytes) -> serving_lib.ServedRun | None:
         """Returns the run that an attempt reads."""
         return self.servings.get(self.owners.get(attempt_id, b""))
 
@@ -220,7 +220,7 @@
         else:
             self._abandon(owner_id, serving)
 
-    def _abandon(self, owner_id: bytes, serving: serving_lib.Serving) -> None:
+    def _abandon(self, owner_id: bytes, serving: serving_lib.ServedRun) -> None:
         if serving.run.ended is None:
             self.handle(event_lib.Cancelled(owner_id))
         elif not serving.run.keep_bytes:
@@ -236,7 +236,7 @@
                 del self.owners[alias]
 
     async def run_attempt(
-        self, attempt: attempt_lib.Attempt, serving: serving_lib.Serving
+        self, attempt: attempt_lib.Attempt, serving: serving_lib.ServedRun
     ) -> None:
         """Runs a dispatched attempt to its end."""
         try:
@@ -251,7 +251,7 @@
             self._run_ended(attempt, serving)
 
     def _run_ended(
-        self, attempt: attempt_lib.Attempt, serving: serving_lib.Serving
+        self, attempt: attempt_lib.Attempt, serving: serving_lib.ServedRun
     ) -> None:
         failure = serving.run.ended.failure if serving.run.ended else None
         logs.info(
@@ -272,7 +272,7 @@
             self.drop(attempt.attempt_id)
         self.handle(event_lib.RunEnded(attempt.attempt_id, ran))
 
-    def _keep(self, serving: serving_lib.Serving) -> None:
+    def _keep(self, serving: serving_lib.ServedRun) -> None:
         """Keeps the answer of a key, within the bound of all kept ones."""
         serving.kept_bytes = serving.run.bytes_held
         self.kept_bytes += serving.kept_bytes
@@ -285,7 +285,7 @@
                 other.run.forget_chunks()
 
     async def _pump(
-        self, attempt: attempt_lib.Attempt, serving: serving_lib.Serving
+        self, attempt: attempt_lib.Attempt, serving: serving_lib.ServedRun
     ) -> result.Failure | None:
         limits = engine_call.Limits(
             self.settings.platform.call_timeout_ms, self.own.max_answer_bytes
@@ -306,10 +306,10 @@
                         serving.heard_at_ms = clock.now_ms()
                         serving.run.append(part)
                         serving.flush(load)
-                        if serving.behind:
+                        if serving.is_backlogged:
                             # Silence is now the reader's, not the target's.
                             serving.heard_at_ms = 0
-                            await serving.wait_for_room()
+                            await serving.wait_for_readers()
                     case engine_call.Head():
                         serving.run.status = part.status
                         serving.run.content_type = part.content_type
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -212,7 +212,7 @@
     Mutant(
         "what did not run is given back",
         "radishd/request/forward.py",
-        "            gateway.usage_caps.give_back(self._booking)\n",
+        "            gateway.usage_caps.give_back(self._reservation)\n",
         "            pass\n",
         _test("fleet.test_usage_caps"),
     ),
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -42,9 +42,9 @@
     mutants.Mutant(
         "whole and own",
         FORWARD,
-        "            raise CutError\n        proven_unrun",
+        "            raise ResponseAbortedError\n        proven_not_run",
         '            await self._send({"type": "http.response.body"})\n'
-        "            return\n        proven_unrun",
+        "            return\n        proven_not_run",
         _seeds(320, Kind.TARGET_FAULTS),
     ),
     mutants.Mutant(
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -38,7 +38,7 @@
     fixtures.run(play)
 
 
-def test_unanswered_orders_do_not_silence_a_sidecar() -> None:
+def test_sidecar_sends_status_while_orders_are_unanswered() -> None:
     """Symptom: callers are refused after 0.6 s while a load is on its way.
 
     Sequence: an engine leaves order after order unanswered. Cause: the process
@@ -68,14 +68,14 @@
                     lambda: engine.swallow_orders < swallowed - 8,
                     "more orders go unanswered",
                 )
-                heard_ms = gateway.placement.views[address].heard_at_ms
-                assert heard_ms > before_ms
+                after_ms = gateway.placement.views[address].heard_at_ms
+                assert after_ms > before_ms
                 engine.swallow_orders = 0
 
     fixtures.run(play)
 
 
-def test_an_order_carried_out_late_finds_its_place_taken() -> None:
+def test_late_order_is_rejected_by_the_engine() -> None:
     """Symptom: an engine crashes seconds after its process gave up an order.
 
     Sequence: a load goes unanswered, others follow, then it is carried out.
@@ -94,7 +94,7 @@
     fixtures.run(play)
 
 
-def test_a_restarted_engine_gets_orders_again() -> None:
+def test_restarted_engine_loads_adapters() -> None:
     """Symptom: after a power cut no adapter is loaded any more.
 
     Sequence: engine and sidecar restart together; the list still names the
@@ -128,7 +128,7 @@
     fixtures.run(play)
 
 
-def test_a_listed_engine_is_told_of_at_once() -> None:
+def test_demand_is_sent_as_soon_as_an_engine_is_listed() -> None:
     """Symptom: after a power cut engines stand empty for 0.4 s longer.
 
     Sequence: gateway and sidecar start; the gateway's first regular word is
@@ -137,7 +137,7 @@
     """
 
     async def play() -> None:
-        regular_ms = sidecar_exchange.DEMAND_EVERY_MS
+        interval_ms = sidecar_exchange.DEMAND_EVERY_MS
         # The next regular word would come after the end of the test.
         sidecar_exchange.DEMAND_EVERY_MS = 3_600_000
         try:
@@ -145,12 +145,12 @@
                 answer = await fleet.call("/chat/x", adapter="a1")
                 assert answer.status == 200, answer
         finally:
-            sidecar_exchange.DEMAND_EVERY_MS = regular_ms
+            sidecar_exchange.DEMAND_EVERY_MS = interval_ms
 
     fixtures.run(play)
 
 
-def test_a_new_version_is_served_once_it_is_announced() -> None:
+def test_announced_adapter_version_replaces_the_old_one() -> None:
     """The old version gives way within seconds, and callers are served."""
 
     async def play() -> None:
@@ -178,7 +178,7 @@
     fixtures.run(play)
 
 
-def test_a_configuration_never_goes_back() -> None:
+def test_older_configuration_is_ignored() -> None:
     """Symptom: a route that was removed is served again.
 
     Sequence: a peer, or a lagging answer, offers an older version. Cause:
@@ -197,8 +197,8 @@
             fleet.store.put("config", "main", fixtures.configuration(3))
             older = wire.configuration(fixtures.configuration(3))
             assert not gateway.holder.offer(older)
-            news = {"model": "x", "adapter": "y", "version": 1}
-            fleet.store.put("versions", "x.y", news)
+            announcement = {"model": "x", "adapter": "y", "version": 1}
+            fleet.store.put("versions", "x.y", announcement)
             await fleet.until(
                 lambda: "x/y" in gateway.placement.announced, "later news came"
             )
@@ -209,7 +209,7 @@
     fixtures.run(play)
 
 
-def test_a_gateway_starts_on_what_a_peer_knows() -> None:
+def test_gateway_starts_from_a_peer_in_a_store_outage() -> None:
     """Symptom: a replaced gateway refuses everything in a store outage."""
 
     async def play() -> None:
@@ -224,7 +224,7 @@
     fixtures.run(play)
 
 
-def test_targets_that_lapsed_in_an_outage_are_still_used() -> None:
+def test_targets_with_expired_entries_are_used_after_an_outage() -> None:
     """Symptom: every request is refused right after a store outage.
 
     Sequence: targets cannot renew their entries, which lapse; the store
@@ -257,7 +257,7 @@
     fixtures.run(play)
 
 
-def test_a_draining_gateway_finishes_and_tells_callers() -> None:
+def test_draining_gateway_completes_requests_and_closes_connections() -> None:
     """What is in flight ends whole; answers say that the connection ends."""
 
     async def play() -> None:
@@ -282,7 +282,7 @@
     fixtures.run(play)
 
 
-def test_a_draining_gateway_cuts_no_request_that_waits() -> None:
+def test_draining_gateway_rejects_waiting_requests_before_it_exits() -> None:
     """Symptom: at a rolling restart callers find their connection closed.
 
     Sequence: a request with a long time limit waits for its adapter, the
@@ -324,7 +324,7 @@
     fixtures.run(play)
 
 
-def test_what_was_believed_before_a_standstill_is_not_used() -> None:
+def test_cached_state_is_dropped_after_a_process_pause() -> None:
     """Kept connections and words of sidecars are dropped, then learned anew."""
 
     async def play() -> None:
@@ -339,27 +339,27 @@
     fixtures.run(play)
 
 
-def test_a_target_that_leaves_gets_no_new_work() -> None:
+def test_draining_target_gets_no_new_requests() -> None:
     """Once the list says so, requests go to the other one."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
-            leaving: platform_engine.PlatformEngine
-            leaving = fleet.targets["i-plain0"]
+            draining: platform_engine.PlatformEngine
+            draining = fleet.targets["i-plain0"]
             spec = dict(fleet.store.objects["servers"]["i-plain0"]["spec"])
             fleet.store.put("servers", "i-plain0", spec | {"state": "draining"})
             member = fleet.gateway.roster.members["i-plain0"]
             await fleet.until(lambda: member.listing.leaving, "it is known")
-            before = len(leaving.ran)
+            before = len(draining.ran)
             for _ in range(12):
                 answer = await fleet.call("/book/1")
                 assert answer.status == 200, answer
-            assert len(leaving.ran) == before
+            assert len(draining.ran) == before
 
     fixtures.run(play)
 
 
-def test_a_silent_store_is_doubted_by_all_watches_at_once() -> None:
+def test_failed_watch_makes_all_watches_query_peers() -> None:
     """Symptom: a gateway cut off from the store serves removed routes.
 
     Sequence: the link to the store falls silent; the short watch of targets
@@ -390,7 +390,7 @@
     fixtures.run(play)
 
 
-def test_the_part_of_the_retry_budget_shrinks_with_the_gateways() -> None:
+def test_share_of_the_retry_budget_shrinks_with_more_gateways() -> None:
     """Symptom: in a large fleet a sick service gets several times its load.
 
     Sequence: a gateway takes its part while it knows few others; then it
--- a/tests/fleet/test_forwarding_path.py
+++ b/tests/fleet/test_forwarding_path.py
@@ -11,7 +11,7 @@
 Fault = platform_engine.Fault
 
 
-def _runs(fleet: fixtures.Fleet) -> collections.Counter[str]:
+def _run_counts(fleet: fixtures.Fleet) -> collections.Counter[str]:
     return collections.Counter(
         attempt for target in fleet.targets.values() for attempt in target.ran
     )
@@ -24,7 +24,7 @@
     )
 
 
-def test_a_stream_of_a_cold_adapter_is_loaded_and_whole() -> None:
+def test_stream_waits_until_its_adapter_is_loaded() -> None:
     """The adapter is nowhere resident; its home loads it, the caller waits."""
 
     async def play() -> None:
@@ -41,7 +41,7 @@
     fixtures.run(play)
 
 
-def test_a_call_that_must_not_run_twice_is_not_sent_again() -> None:
+def test_non_repeatable_request_is_not_retried_after_a_reset() -> None:
     """Symptom: a booking stands twice in the books.
 
     Sequence: the target runs it and loses the answer. Cause: a proxy that
@@ -54,12 +54,12 @@
                 target.fault = lambda seen: Fault.RESET_AFTER_RUN
             answer = await fleet.call("/book/1", attempt="0b")
             assert answer.status == 502, answer
-            assert _runs(fleet)["0b"] == 1
+            assert _run_counts(fleet)["0b"] == 1
 
     fixtures.run(play)
 
 
-def test_a_call_that_may_run_twice_is_sent_elsewhere() -> None:
+def test_repeatable_request_is_retried_on_another_target() -> None:
     """The first target loses its answer; the second one's is passed on."""
 
     async def play() -> None:
@@ -76,12 +76,12 @@
                 target.fault = lose_first
             answer = await fleet.call("/look/1", method="GET", attempt="0c")
             assert answer.status == 200, answer
-            assert _runs(fleet)["0c"] == 2
+            assert _run_counts(fleet)["0c"] == 2
 
     fixtures.run(play)
 
 
-def test_a_promise_without_proof_is_not_passed_on() -> None:
+def test_unproven_503_is_not_forwarded() -> None:
     """Symptom: a caller repeats a booking that has run.
 
     Sequence: a target runs it and answers 503 without saying that it did not
@@ -99,7 +99,7 @@
     fixtures.run(play)
 
 
-def test_a_refusal_with_proof_says_when_to_come_back() -> None:
+def test_proven_rejection_carries_retry_after() -> None:
     """A full target proved that nothing ran; the caller is told at once."""
 
     async def play() -> None:
@@ -109,12 +109,12 @@
             answer = await fleet.call("/book/1", attempt="0e")
             assert answer.status == 503, answer
             assert float(answer.headers["retry-after"]) > 0
-            assert _runs(fleet)["0e"] == 0
+            assert _run_counts(fleet)["0e"] == 0
 
     fixtures.run(play)
 
 
-def test_a_cut_stream_that_may_go_on_is_whole_for_its_caller() -> None:
+def test_interrupted_resumable_stream_is_completed() -> None:
     """Symptom: a summary stops in mid sentence, or repeats a piece.
 
     Sequence: the target breaks off in the middle of an event. Cause: half an
@@ -140,7 +140,7 @@
     fixtures.run(play)
 
 
-def test_a_cut_stream_that_may_not_go_on_looks_cut() -> None:
+def test_interrupted_non_resumable_stream_is_aborted() -> None:
     """Symptom: a caller files half a draft as the whole one.
 
     Sequence: the target breaks off. Cause: the gateway ended the answer.
@@ -159,7 +159,7 @@
     fixtures.run(play)
 
 
-def test_a_late_second_answer_goes_to_nobody() -> None:
+def test_duplicate_response_is_discarded() -> None:
     """Symptom: a caller gets the answer to another's request.
 
     Sequence: a target answers a request twice; the second answer arrives on
@@ -180,7 +180,7 @@
     fixtures.run(play)
 
 
-def test_an_answer_without_length_ends_with_its_connection() -> None:
+def test_response_without_length_ends_when_the_connection_closes() -> None:
     """It is whole when the target closes in order."""
 
     async def play() -> None:
@@ -194,7 +194,7 @@
     fixtures.run(play)
 
 
-def test_callers_do_not_set_what_is_ours_to_set() -> None:
+def test_engine_control_headers_of_callers_are_dropped() -> None:
     """Symptom: a caller jumps the queue, or reads another's memory.
 
     Cause: headers that steer an engine were passed on as they came.
@@ -222,7 +222,7 @@
     fixtures.run(play)
 
 
-def test_an_unknown_route_and_a_large_body_are_refused() -> None:
+def test_unknown_route_and_large_body_are_rejected() -> None:
     """Both get an answer of ours, and nothing reaches a target."""
 
     async def play() -> None:
@@ -231,12 +231,12 @@
             assert answer.status == result.ROUTE_UNKNOWN.status
             large = await fleet.call("/book/1", body=b"x" * 70_000)
             assert large.status == result.BODY_TOO_LARGE.status
-            assert not _runs(fleet)
+            assert not _run_counts(fleet)
 
     fixtures.run(play)
 
 
-def test_a_caller_that_leaves_frees_its_target() -> None:
+def test_caller_disconnect_stops_the_work_at_the_target() -> None:
     """The connection to the target is closed, so that its work stops."""
 
     async def play() -> None:
@@ -256,7 +256,7 @@
     fixtures.run(play)
 
 
-def test_a_stream_that_pauses_is_not_broken_off_in_vain() -> None:
+def test_stalled_stream_is_kept_if_no_other_target_can_resume_it() -> None:
     """Symptom: a summary stops in the middle although its target goes on.
 
     Sequence: the target pauses for longer than is on time; no other target
@@ -282,12 +282,12 @@
             answer = await fleet.call("/long/x", adapter="a1", attempt="30")
             assert answer.whole, answer
             assert answer.body == _expected_stream("30")
-            assert _runs(fleet)["30"] == 1
+            assert _run_counts(fleet)["30"] == 1
 
     fixtures.run(play)
 
 
-async def _slow_holder_and_full_neighbour(
+async def _one_slow_and_one_full_engine(
     fleet: fixtures.Fleet, event_ms: float
 ) -> platform_engine.PlatformEngine:
     """Has both engines hold an adapter; one pauses, the other is full."""
@@ -321,7 +321,7 @@
     return holder
 
 
-def test_a_stream_on_a_slow_engine_is_not_cut_for_a_full_neighbour() -> None:
+def test_slow_stream_is_not_aborted_when_the_other_engine_is_full() -> None:
     """Symptom: a draining gateway cuts a summary that its engine goes on with.
 
     Sequence: the engine reads prompts between tokens and pauses for longer
@@ -332,7 +332,7 @@
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
-            await _slow_holder_and_full_neighbour(fleet, event_ms=450.0)
+            await _one_slow_and_one_full_engine(fleet, event_ms=450.0)
             answers = []
 
             async def call() -> None:
@@ -353,7 +353,7 @@
     fixtures.run(play)
 
 
-def test_a_begun_stream_returns_from_a_full_neighbour() -> None:
+def test_interrupted_stream_is_resumed_after_a_rejection() -> None:
     """Symptom: a summary is cut although its first engine would go on.
 
     Sequence: the engine ends in the middle of the run; the other holder is
@@ -363,7 +363,7 @@
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
-            holder = await _slow_holder_and_full_neighbour(fleet, event_ms=5.0)
+            holder = await _one_slow_and_one_full_engine(fleet, event_ms=5.0)
             shed = []
             (other,) = (
                 one
@@ -384,7 +384,7 @@
     fixtures.run(play)
 
 
-def test_not_run_is_not_said_of_a_send_whose_answer_was_lost() -> None:
+def test_lost_response_is_not_reported_as_not_executed() -> None:
     """Symptom: a caller is told that a summary was not run, and it was.
 
     Sequence: an engine runs it and loses the answer; no other engine can load
@@ -400,7 +400,7 @@
                     target.swallow_orders = 1_000_000
             holder.fault = lambda seen: Fault.RESET_AFTER_RUN
             answer = await fleet.call("/long/x", adapter="a1", attempt="31")
-            assert _runs(fleet)["31"] == 1
+            assert _run_counts(fleet)["31"] == 1
             assert answer.status == result.OUTCOME_UNKNOWN.status, answer
             assert b'"executed": "unknown"' in answer.body
 
