--- a/packages/radishd/src/radishd/request/__init__.py
+++ b/packages/radishd/src/radishd/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Objects that live for one request."""
--- a/packages/radishd/src/radishd/request/caller.py
+++ b/packages/radishd/src/radishd/request/caller.py
@@ -1,4 +1,7 @@
-"""One caller's request at an entry daemon, on real sockets."""
+"""Serves one request at an entry daemon: the I/O to caller and target.
+
+Retries and resumptions are decided in ``radishstack.request.exchange``.
+"""
 
 import dataclasses
 import functools
@@ -38,16 +41,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeadlineExceeded:
-    """Put into the inbox when the caller's time is over."""
+    """An inbox item: the deadline of the request has passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disconnected:
-    """Put into the inbox when the caller has left."""
+    """An inbox item: the caller has closed its connection."""
 
 
 class Caller:
-    """Drives the decisions of one request."""
+    """Performs the actions that the exchange of one request decides on."""
 
     def __init__(
         self,
@@ -58,15 +61,16 @@
         send: web.Send,
         accepted_at_ms: int,
     ) -> None:
-        """Prepares a request that is valid and resolved.
+        """Initializes a request that is valid and resolved.
 
         Args:
-            entry: The daemon.
-            intake: The request.
-            held: The version it was resolved against, held to its end.
-            resolution: What it asks for.
+            entry: The entry daemon.
+            intake: The parsed request.
+            held: The configuration version it was resolved against, kept
+                until the request ends.
+            resolution: Its service, adapter and candidate targets.
             send: The ASGI channel to the caller.
-            accepted_at_ms: When it came in, on the monotonic clock.
+            accepted_at_ms: When it arrived, on the monotonic clock.
         """
         self.entry = entry
         self.intake = intake
@@ -88,18 +92,18 @@
         self.target = ""
 
     def interrupt(self, item: object) -> None:
-        """Puts something beside what the target sends."""
+        """Adds an inbox item that does not come from the target."""
         self._interrupts.append(item)
         self.inbox.put(item)
 
     def _reset_inbox(self) -> None:
-        """Leaves behind what an earlier stream sent, but no interrupt."""
+        """Drops the items of an earlier stream, but keeps interrupts."""
         self.inbox = inbox_lib.Inbox()
         for item in self._interrupts:
             self.inbox.put(item)
 
     async def run(self) -> None:
-        """Runs the request to its one outcome."""
+        """Runs the request until it has an outcome."""
         candidates = await self.entry.rank(self.resolution, self.held)
         self.exchange = exchange_lib.Exchange(
             self.resolution,
@@ -171,7 +175,7 @@
             self.link = None
 
     def _send_ack(self) -> None:
-        """Tells the target what has reached the caller, now and then."""
+        """Acknowledges the chunks that were forwarded to the caller."""
         if self.unacked_chunks and self.link is not None and not self.link.lost:
             self.unacked_chunks = 0
             self.link.send(
@@ -187,7 +191,7 @@
                 target
             )
         if target_config is None:
-            return result.Failure(result.NO_TARGET, f"no target {target}")
+            return result.Failure(result.NO_TARGET, f"unknown target {target}")
         link = await self.entry.links.get(target, target_config.address)
         if isinstance(link, result.Failure):
             self.entry.router.failed(target, clock.now_ms())
@@ -199,7 +203,7 @@
         return None
 
     def submit_frame(self, now_ms: int) -> frame.Submit:
-        """Makes the submission of a new attempt."""
+        """Builds the frame that submits a new attempt."""
         resolution, intake = self.resolution, self.intake
         self.attempt_id = secrets.token_bytes(frame.ATTEMPT_ID_BYTES)
         return frame.Submit(
@@ -222,12 +226,12 @@
         )
 
     async def reply(self, failure: result.Failure) -> None:
-        """Answers with a failure, or cuts the answer that has begun.
+        """Sends a failure, or aborts a response that has started.
 
         Raises:
-            CutError: If the answer has begun. It must not end like a whole
-                one; raising makes the server close the connection in the
-                middle of the body.
+            ResponseAbortedError: If the response has started. It must not
+                look complete, and the exception makes the server close the
+                connection in the middle of the body.
         """
         self.failure = failure
         if not self.head_sent:
@@ -305,7 +309,7 @@
 
 @_perform.register
 async def _rehome(action: exchange_lib.Rehome, caller: Caller) -> None:
-    """Finds the home of a key in a newer version than the request's."""
+    """Looks up the home of a key in a newer configuration version."""
     del action
     entry, resolution = caller.entry, caller.resolution
     await entry.configuration.wait_for(resolution.version + 1, REHOME_WAIT_MS)
@@ -385,10 +389,10 @@
 
 
 class ResponseAbortedError(Exception):
-    """Ends a caller's connection in the middle of an answer."""
+    """Aborts the connection of a caller in the middle of a response."""
 
     def __init__(self, failure: result.Failure) -> None:
-        """Keeps the failure for the log."""
+        """Stores the failure for the log."""
         super().__init__(failure.message)
         self.failure = failure
 
@@ -396,7 +400,7 @@
 async def reply_failure(
     failure: result.Failure, request_id: str, send: web.Send
 ) -> None:
-    """Answers a request with a failure."""
+    """Sends a failure as the response to a request."""
     body = error_body.encode(failure)
     headers = [
         *error_body.headers(failure),
@@ -416,7 +420,7 @@
 def log_outcome(
     caller: Caller, failure: result.Failure | None, took_ms: int
 ) -> None:
-    """Logs the one outcome of a request."""
+    """Logs the outcome of a request."""
     logs.info(
         "request_ended",
         request_id=caller.intake.asked.request_id,
--- a/packages/radishd/src/radishd/request/callers_port.py
+++ b/packages/radishd/src/radishd/request/callers_port.py
@@ -1,7 +1,6 @@
-"""The callers' port of a gateway: reads requests, admits them, answers.
+"""The callers' port of a gateway: reads, admits and serves requests.
 
-Which requests are admitted is decided in ``radishstack.request.admission``;
-this module does the reading and the answering around it.
+Which requests are admitted is decided in ``radishstack.request.admission``.
 """
 
 from __future__ import annotations
@@ -24,12 +23,12 @@
 
 
 class CallersPortGateway(gateway_interface.GatewayInterface, Protocol):
-    """The gateway, as its callers' port sees it.
+    """The gateway as its callers' port uses it.
 
     Attributes:
         log: Where requests are logged.
-        in_flight: Requests that are being served.
-        refusals: Refusals by number of the result code.
+        in_flight: Number of requests that are being served.
+        refusals: Failed requests, counted by number of the result code.
     """
 
     log: decision_log.DecisionLog
@@ -72,7 +71,8 @@
         if isinstance(request, result.Failure):
             await self._reject(request, "", send)
             return
-        # Rejected before a large body is read, where the head suffices.
+        # The head may be enough to reject the request, without reading a large
+        # body.
         admitted = self._admit(request)
         if isinstance(admitted, result.Failure):
             await self._reject(admitted, request.attempt_id, send)
@@ -85,8 +85,8 @@
         if isinstance(body, result.Failure):
             await self._reject(body, request.attempt_id, send)
             return
-        # Admitted again once the request is whole, so that a configuration
-        # that came into force while it was read applies to it.
+        # Admitted again after the body was read, because a new configuration
+        # may have come into force in the meantime.
         admitted = self._admit(request)
         if isinstance(admitted, result.Failure):
             await self._reject(admitted, request.attempt_id, send)
@@ -155,7 +155,7 @@
                 done = True
                 tasks.cancel_scope.cancel()
         except* forward_lib.ResponseAbortedError:
-            # The server closes the connection without ending the answer.
+            # The server closes the connection without ending the response.
             raise forward_lib.ResponseAbortedError from None
         except* Exception as group:
             await self._handle_exception(forward, group)
@@ -168,7 +168,7 @@
     async def _handle_exception(
         self, forward: forward_lib.Forward, group: ExceptionGroup
     ) -> None:
-        """Logs what stopped one request; the others go on."""
+        """Logs an exception and fails its request; other requests continue."""
         code = result.INTERNAL
         for error in group.exceptions:
             if isinstance(error, invariant.InvariantBrokenError):
@@ -180,7 +180,8 @@
             raise forward_lib.ResponseAbortedError
         forward.state.may_have_run = forward.sent
         failure = result.Failure(
-            result.INTERNAL, "this gateway broke off the request"
+            result.INTERNAL,
+            "the gateway aborted the request after an internal error",
         )
         await forward.reply(failure)
 
@@ -195,7 +196,9 @@
     def _log_request(self, forward: forward_lib.Forward, *, left: bool) -> None:
         failure = forward.failure
         if left and failure is None:
-            failure = result.Failure(result.CANCELLED, "the caller left")
+            failure = result.Failure(
+                result.CANCELLED, "the caller disconnected"
+            )
         self._count_request(failure)
         now_ms = clock.boot_ms()
         fields: dict[str, Any] = {}
@@ -225,7 +228,7 @@
 async def _read_body(
     receive: web.Receive, max_bytes: int
 ) -> bytes | result.Failure | None:
-    """Reads a body; returns None if the caller left."""
+    """Reads a body; returns None if the caller disconnected."""
     pieces: list[bytes] = []
     size_bytes = 0
     while True:
@@ -236,7 +239,7 @@
         size_bytes += len(piece)
         if size_bytes > max_bytes:
             return result.Failure(
-                result.BODY_TOO_LARGE, f"more than {max_bytes} bytes"
+                result.BODY_TOO_LARGE, f"the body exceeds {max_bytes} bytes"
             )
         pieces.append(piece)
         if not message.get("more_body"):
--- a/packages/radishd/src/radishd/request/engine_call.py
+++ b/packages/radishd/src/radishd/request/engine_call.py
@@ -1,4 +1,4 @@
-"""One request at the target itself: the engine or the plain service."""
+"""Calls of a target process to its engine or plain service."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -25,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one call.
+    """Limits of one call.
 
     Attributes:
-        connect_ms: How long connecting and sending may take.
-        max_answer_bytes: Largest answer that is read whole.
+        connect_ms: Timeout of the connect and of each write.
+        max_answer_bytes: Maximum size of a response that is buffered.
     """
 
     connect_ms: int
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """Status and content type of an answer."""
+    """Status and content type of a response."""
 
     status: int
     content_type: str
@@ -55,18 +55,19 @@
     limits: Limits,
     check_model: ModelCheck,
 ) -> AsyncIterator[ResponsePart]:
-    """Runs an attempt and yields its answer.
+    """Runs an attempt and yields its response.
 
     Args:
         pool: Connections to the target.
         url: Its base URL.
-        attempt: What to run.
-        limits: Bounds of the call.
-        check_model: Told what the engine says it runs on, before any of the
-            answer is passed on; returns whether to go on.
+        attempt: The attempt to run.
+        limits: Limits of the call.
+        check_model: Called with the model that the response names, before
+            any of the response is yielded, and again if a later event names
+            another one; returns whether to continue.
 
     Yields:
-        The head, then the pieces; a failure ends it early.
+        The head, then the body in pieces; a failure is the last item.
     """
     timeout_s = limits.connect_ms / MS_PER_S
     headers = [
@@ -90,7 +91,7 @@
     except store_lib.NETWORK_ERRORS as error:
         yield result.Failure(
             result.TARGET_FAILED,
-            f"the target was lost: {type(error).__name__} {error}".rstrip(),
+            f"target connection lost: {type(error).__name__} {error}".rstrip(),
         )
 
 
@@ -109,11 +110,11 @@
 ) -> AsyncIterator[ResponsePart]:
     head = Head(response.status, _content_type(response))
     if attempt.adapter and head.status == NOT_FOUND:
-        # The engine restarted cold since the dispatch. It refuses a model
-        # it does not hold before it runs anything.
+        # The engine has restarted since the dispatch and lost its adapters.
+        # It rejects a model that is not loaded before it runs anything.
         yield result.Failure(
             result.TARGET_COLD,
-            f"the engine does not hold {attempt.adapter} any more",
+            f"the engine no longer has {attempt.adapter} loaded",
             COLD_RETRY_MS,
         )
         return
@@ -140,7 +141,7 @@
         if size_bytes > limits.max_answer_bytes:
             yield result.Failure(
                 result.TARGET_FAILED,
-                f"the answer is larger than {limits.max_answer_bytes} bytes",
+                f"the response is larger than {limits.max_answer_bytes} bytes",
             )
             return
         pieces.append(piece)
@@ -148,7 +149,8 @@
     if attempt.adapter:
         if head.status >= MIN_SERVER_ERROR_STATUS:
             yield result.Failure(
-                result.TARGET_FAILED, f"the engine answered {head.status}"
+                result.TARGET_FAILED,
+                f"the engine responded with status {head.status}",
             )
             return
         if head.status == OK and not check_model(_parse_model(body)):
@@ -163,10 +165,10 @@
     attempt: attempt_lib.Attempt,
     check_model: ModelCheck,
 ) -> AsyncIterator[ResponsePart]:
-    """Passes events on as they come, whole answers only.
+    """Yields events as they arrive, and a failure if the end marker is missing.
 
-    The first event is parsed and holds the adapter that ran. Later ones are
-    only searched for its name, and parsed where it is missing.
+    The first event is parsed for the model that ran. Later pieces are only
+    searched for the adapter's name, and parsed if it does not occur.
     """
     name = json.dumps(attempt.adapter).encode()
     stream = response.aiter_stream()
@@ -179,6 +181,7 @@
         return
     yield head
     yield first
+    # 8 bytes more than the end marker, for the line breaks after it.
     tail = first[-len(DONE_EVENT) - 8 :]
     async for piece in stream:
         if name not in piece and not _check_piece_model(
@@ -189,7 +192,8 @@
         tail = (tail + piece)[-len(DONE_EVENT) - 8 :]
     if DONE_EVENT not in tail:
         yield result.Failure(
-            result.TARGET_FAILED, "the engine ended the stream in the middle"
+            result.TARGET_FAILED,
+            "the engine ended the stream before its end marker",
         )
 
 
@@ -209,7 +213,7 @@
 def _check_piece_model(
     piece: bytes, attempt: attempt_lib.Attempt, check_model: ModelCheck
 ) -> bool:
-    """Parses a piece that does not name the adapter literally."""
+    """Checks a piece in which the adapter's name does not occur."""
     for event in piece.split(EVENT_END):
         line = event.strip()
         if not line.startswith(DATA_PREFIX) or line == DONE_EVENT:
--- a/packages/radishd/src/radishd/request/error_body.py
+++ b/packages/radishd/src/radishd/request/error_body.py
@@ -1,4 +1,4 @@
-"""Failures as callers see them."""
+"""Encodes failures as responses to callers."""
 
 import json
 import math
@@ -9,7 +9,7 @@
 
 
 def encode(failure: result.Failure) -> bytes:
-    """Renders the JSON body of an error.
+    """Encodes the JSON body of an error response.
 
     Args:
         failure: The failure.
@@ -32,7 +32,7 @@
 
 
 def headers(failure: result.Failure) -> list[tuple[bytes, bytes]]:
-    """Returns the headers of an error answer."""
+    """Returns the headers of an error response."""
     pairs = [(b"content-type", b"application/json")]
     if failure.retry_after_ms:
         seconds = math.ceil(failure.retry_after_ms / MS_PER_S)
@@ -41,5 +41,5 @@
 
 
 def encode_event(failure: result.Failure) -> bytes:
-    """Renders a failure as the last event of a stream that was cut."""
+    """Encodes a failure as the last event of an interrupted stream."""
     return b"event: error\ndata: " + encode(failure) + b"\n\n"
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -1,7 +1,7 @@
-"""Forwards one caller's request to targets, and an answer back.
+"""Forwards one caller's request to targets, and the response back.
 
-The decisions are in ``radishstack``: where to (``placement``), and what
-follows when a send comes to nothing (``forwarding``).
+The decisions are made in ``radishstack``: ``placement`` chooses the target,
+and ``forwarding`` what follows a failed send.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from radishd.request import gateway_interface
 
 MS_PER_S = 1_000
-# When to come back after a rejection, by what it takes to change: a full or
-# restarted target is another one's turn at once.
+# Ranges of retry delays. The delay is short after a rejection by a full or
+# restarted target, because another target can accept the request at once.
 SHED_RETRY_MS = (30, 150)
 NO_TARGET_RETRY_MS = (300, 900)
-# Part of its objective that a request may wait for its adapter, however late
-# engines answer.
+# Fraction of its latency objective that a request may always wait for its
+# adapter, however late engines respond.
 MIN_WAIT_FRACTION = 0.5
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 PRIORITY_MAX = 9
 
 Outcome = forwarding.Outcome
-# Ends of a send by which a target that has ended shows.
+# Outcomes of a send that may be due to a crash of its target.
 _POSSIBLE_CRASH = frozenset({Outcome.LOST, Outcome.SPOILED})
-# Ends of a send that prove that the request did not run.
+# Outcomes of a send that prove that the request did not run.
 _NOT_RUN = frozenset(
     {Outcome.UNSENT, Outcome.SHED, Outcome.MISMATCH, Outcome.GONE}
 )
@@ -56,25 +56,25 @@
 
 
 class ResponseAbortedError(Exception):
-    """An answer that has begun cannot be ended whole; cut it visibly."""
+    """Aborts a response that has started, so that it looks incomplete."""
 
 
 def _outcome_of(lost: http_client.Lost) -> Outcome:
-    """Returns how a send ended whose connection is lost."""
+    """Returns the outcome of a send whose connection was lost."""
     if lost.spoiled:
         return Outcome.SPOILED
     return Outcome.SILENT if lost.silent else Outcome.LOST
 
 
 class ReadTimeout(enum.Enum):
-    """Marks that a peer was silent for longer than was allowed."""
+    """A sentinel: the target sent nothing for its idle timeout."""
 
     IDLE = "silent"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """One send to one start of a target."""
+    """One send to one incarnation of a target."""
 
     member: roster_lib.Member
     connection: http_client.Connection
@@ -82,7 +82,7 @@
 
 
 class Forward:
-    """One request of a caller."""
+    """One request of a caller, until its response is complete."""
 
     def __init__(
         self,
@@ -94,16 +94,16 @@
         arrived_at_ms: int,
         reservation: usage_books.Booking | None = None,
     ) -> None:
-        """Starts with a request that has been read whole.
+        """Initializes a request whose body was read.
 
         Args:
             gateway: The gateway.
-            request: Its head.
-            admission: Its route and on whose behalf it runs.
+            request: Head of the request.
+            admission: Its route and client account.
             body: Its body.
-            send: Where the answer goes.
+            send: The ASGI channel to the caller.
             arrived_at_ms: When it arrived.
-            reservation: What pays for it under the usage cap of its account.
+            reservation: What it reserved under the usage cap of its account.
         """
         self.gateway = gateway
         self.request = request
@@ -136,7 +136,7 @@
         )
 
     def fingerprint(self) -> str:
-        """Returns what it asks, computed once it is needed."""
+        """Returns the fingerprint of the request, computed on first use."""
         if not self.cached_fingerprint:
             self.cached_fingerprint = fingerprint_lib.of_request(
                 self.request.method,
@@ -148,7 +148,7 @@
         return self.cached_fingerprint
 
     def release(self) -> None:
-        """Gives back the bookings of a request that was not sent."""
+        """Releases the reservations of a request that was not sent."""
         self._release_rate_reservation()
         if not self.sent:
             self.gateway.usage_caps.give_back(self._reservation)
@@ -162,7 +162,12 @@
         return self.deadline_at_ms - clock.boot_ms()
 
     async def run(self) -> None:
-        """Serves the request; raises ``CutError`` to cut its answer."""
+        """Serves the request.
+
+        Raises:
+            ResponseAbortedError: If a response that has started cannot be
+                completed.
+        """
         left_s = max(0, self.left_ms()) / MS_PER_S
         with anyio.move_on_after(left_s) as scope:
             await self._serve()
@@ -170,7 +175,8 @@
             return
         if self.response_started:
             self.failure = result.Failure(
-                result.ROUTE_TIMEOUT, "the stream had not ended in time"
+                result.ROUTE_TIMEOUT,
+                "the stream did not end before the deadline",
             )
             raise ResponseAbortedError
         await self.reply(self.state.timed_out(sent=self.sent))
@@ -249,7 +255,7 @@
         return await self._choose_engine()
 
     def _rejection(self) -> result.Failure | None:
-        """Returns why it is sent to no target, None if it may be sent."""
+        """Returns the rejection of the request, None if it may be sent."""
         if not self.response_started:
             failure = admission_lib.readmit(
                 self.gateway.table, self.admission, self.request.key_digest
@@ -261,8 +267,8 @@
     def _quarantined(self) -> result.Failure | None:
         """Returns the rejection of a request that crashes targets.
 
-        Sent on, it would crash the next target too, and cut off all that
-        runs there.
+        Forwarded, it would crash the next target too, and with it all requests
+        that run there.
         """
         crash_gossip = self.gateway.crash_gossip
         if not len(crash_gossip.evidence):
@@ -277,12 +283,12 @@
             return None
         return result.Failure(
             result.REQUEST_ENDS_TARGETS,
-            f"targets ended at {quarantine.moments} times under this request",
+            f"targets crashed {quarantine.moments} times running this request",
             max(quarantine.left_ms, crash_evidence.TRIAL_MS),
         )
 
     def _record_completion(self) -> None:
-        """Records that a target ran it to its end, and still runs."""
+        """Records that the request completed without a crash."""
         self.gateway.crash_gossip.ended_well(self.fingerprint())
 
     def _allowed_targets(self, now_ms: int) -> list[roster_lib.Member]:
@@ -294,7 +300,7 @@
         ]
 
     def _usable_targets(self, now_ms: int) -> list[roster_lib.Member]:
-        """Returns the targets that it may be sent to within rate limits."""
+        """Returns the targets that may run it within their rate limits."""
         allowed = self._allowed_targets(now_ms)
         limits = self.gateway.rate_limits
         limited = [one for one in allowed if limits.is_limited(one)]
@@ -319,7 +325,7 @@
         return unlimited + below_limit
 
     def _reserve_rate(self, member: roster_lib.Member) -> bool:
-        """Books a send against a target's rate limit; returns success."""
+        """Reserves a send under a target's rate limit; returns success."""
         limits = self.gateway.rate_limits
         if limits.is_booked(self._rate_reservation, member):
             return True
@@ -356,8 +362,8 @@
                 )
                 member = choice.send or choice.load
                 if member is not None:
-                    # Booked before the load, because a load at a limited target
-                    # only helps a request that may be sent there.
+                    # Reserved before the load, because a load at a limited
+                    # target only helps a request that may be sent there.
                     self._reserve_rate(member)
                 await gateway.load_requests.follow(load_request, choice)
                 # A stream that has started cannot be rejected any more, so it
@@ -382,13 +388,13 @@
             gateway.load_requests.drop(load_request)
 
     def _due_at_ms(self) -> int:
-        """Returns when it must be sent to be answered in time."""
+        """Returns by when it must be sent to meet its objective."""
         if self.response_started:
             return clock.boot_ms()
         answer_ms = self.gateway.roster.usual_latency_ms(self.service)
         objective_ms = self.route.objective_ms
-        # Where engines answer late in any case, waits are kept short but not
-        # all refused.
+        # If engines respond too late for the objective anyway, requests still
+        # wait for a short time instead of being rejected.
         due_ms = max(objective_ms - answer_ms, MIN_WAIT_FRACTION * objective_ms)
         return self.arrived_at_ms + round(due_ms)
 
@@ -407,14 +413,14 @@
         )
         return result.Failure(
             code,
-            f"no target of {self.service} can take it",
+            f"no target of {self.service} can accept the request",
             backoff_ms + retry_after_ms,
         )
 
     async def _send_to_target(
         self, member: roster_lib.Member, version: int
     ) -> Outcome | None:
-        """Sends to one target; returns None once the caller is answered."""
+        """Sends to one target; returns None if the caller got the response."""
         gateway = self.gateway
         listing = member.listing
         member.health.in_flight += 1
@@ -431,7 +437,7 @@
             member.health.unanswered[self] = send.sent_at_ms
             return await self._handle_response(send)
         except anyio.get_cancelled_exc_class():
-            # The route's time passed, or the caller left: the log is to tell
+            # The deadline passed or the caller disconnected. The log records
             # which target had the request.
             self.send_history.append(f"{listing.instance}:unfinished")
             raise
@@ -444,7 +450,7 @@
                 gateway.discard(connection)
 
     def _record_if_unanswered(self, member: roster_lib.Member) -> None:
-        """Counts a send that ends without a first byte after a long wait."""
+        """Records a send that got no response head after a long wait."""
         sent_at_ms = member.health.unanswered.pop(self, None)
         if sent_at_ms is None:
             return
@@ -462,7 +468,7 @@
         invariant.require(
             not self.request.left_ms or left_ms <= self.request.left_ms,
             result.DEADLINE_GREW,
-            f"{left_ms} of {self.request.left_ms} ms",
+            f"{left_ms} ms left, the caller allowed {self.request.left_ms} ms",
         )
         self.state.sending(listing.instance)
         priority = None
@@ -513,7 +519,7 @@
     async def _read_head(
         self, send: Send
     ) -> http_client.Head | http_client.Lost | ReadTimeout:
-        """Waits for the head of the answer to this very attempt."""
+        """Waits for the head of the response to this attempt."""
         connection = send.connection
         instance = send.member.listing.instance
         while True:
@@ -537,7 +543,8 @@
                 )
             if not is_late:
                 return head
-            # A second answer to the request before came late; ours is next.
+            # A late second response to the previous request on this connection;
+            # the response to this one follows.
             lost = await connection.skip()
             if lost is not None:
                 return lost
@@ -545,7 +552,11 @@
     async def _read_with_timeout(
         self, send: Send, read: Callable[[], Awaitable[_Part]]
     ) -> _Part | ReadTimeout:
-        """Reads from a target until it has been silent for too long."""
+        """Reads from a target with an idle timeout.
+
+        The timeout is computed again when it expires, from the present state
+        of all targets.
+        """
         began_ms = clock.boot_ms()
         while True:
             idle_timeout_ms = self._idle_timeout_ms(send)
@@ -556,7 +567,7 @@
                 return await read()
 
     def _idle_timeout_ms(self, send: Send) -> float:
-        """Returns how long a target may be silent before it is left."""
+        """Returns how long a target may send nothing before it is abandoned."""
         left_ms = max(0, self.left_ms())
         can_reroute = (
             self.route.repeatable
@@ -564,12 +575,14 @@
             and self.gateway.has_other(self.service, send.member)
         )
         if self.response_started and self.needs_adapter:
-            # Silence alone is no reason to break off what has begun: without
-            # a place where it goes on at once, it may only pause.
+            # The target may only pause, so a stall alone is no reason to
+            # abandon a stream that has started: another target must be able
+            # to resume it at once.
             can_reroute = can_reroute and self._can_continue_elsewhere(
                 send.member
             )
         if not can_reroute:
+            # No idle timeout: the deadline of the request passes first.
             return self.route.timeout_ms + MS_PER_S
         silence_ms = silence.allowed_ms(
             self.route,
@@ -578,11 +591,12 @@
             now_ms=clock.boot_ms(),
         )
         if left_ms < 2 * silence_ms:
+            # Too little time for another target to respond.
             return self.route.timeout_ms + MS_PER_S
         return silence_ms
 
     def _can_continue_elsewhere(self, member: roster_lib.Member) -> bool:
-        """Whether another target could go on with a stream now."""
+        """Whether another target could resume the stream now."""
         now_ms = clock.boot_ms()
         others = [
             one for one in self._usable_targets(now_ms) if one is not member
@@ -593,7 +607,7 @@
         return choice.send is not None
 
     async def _read_rejection(self, send: Send, outcome: Outcome) -> Outcome:
-        """Reads a rejection to its end, so that its connection can be kept."""
+        """Reads a rejection to its end, so that its connection is reusable."""
         body = await http_client.read_body(send.connection)
         if not isinstance(body, http_client.Lost):
             self.gateway.release(send.member.listing.address, send.connection)
@@ -602,7 +616,7 @@
     async def _handle_failure_response(
         self, send: Send, head: http_client.Head
     ) -> Outcome | None:
-        """Passes a target's failure on, unless another target may do."""
+        """Forwards a target's error response, unless another may be tried."""
         body = await http_client.read_body(send.connection)
         if isinstance(body, http_client.Lost):
             return _outcome_of(body)
@@ -631,10 +645,10 @@
     async def _forward_buffered(
         self, send: Send, head: http_client.Head
     ) -> Outcome | None:
-        """Passes an answer on once it is there whole.
+        """Forwards a response once it is complete.
 
-        An answer that is cut on its way could otherwise not be replaced by
-        another target's, nor by a failure that says what happened.
+        If a partly forwarded response is interrupted, neither the response of
+        another target nor an error that states the cause can replace it.
         """
         pieces: list[bytes] = []
         size_bytes = 0
@@ -687,7 +701,7 @@
     async def _forward_stream(
         self, send: Send, head: http_client.Head
     ) -> Outcome | None:
-        """Passes whole events on as they come."""
+        """Forwards complete events as they arrive."""
         self.events.restart()
         health = send.member.health
         success_recorded = False
@@ -747,11 +761,11 @@
     async def _fail(self, failure: result.Failure) -> None:
         self.failure = failure
         if self.response_started:
-            # An end that looks whole would pass for the whole answer.
+            # Ended normally, the partial response would look complete.
             raise ResponseAbortedError
         proven_not_run = failure.executed is result.Executed.NO
         if proven_not_run and self.state.may_have_run:
-            # That no target takes it now proves nothing of the send before.
+            # A rejection now does not prove that an earlier send did not run.
             failure = result.Failure(result.OUTCOME_UNKNOWN, failure.message)
         elif proven_not_run and not failure.retry_after_ms:
             failure = dataclasses.replace(
@@ -760,7 +774,7 @@
         await self.reply(failure)
 
     async def reply(self, failure: result.Failure) -> None:
-        """Answers with a failure of ours."""
+        """Sends a failure of the gateway as the response."""
         invariant.require(
             not (
                 failure.executed is result.Executed.NO
--- a/packages/radishd/src/radishd/request/gateway_interface.py
+++ b/packages/radishd/src/radishd/request/gateway_interface.py
@@ -1,7 +1,7 @@
-"""What a forwarded request needs of its gateway, and nothing else.
+"""The part of the gateway that a forwarded request depends on.
 
-A request that took the gateway's class would know all that the process does,
-and the two modules could only be read together.
+With the gateway's class instead, a request would depend on the whole process,
+and the two modules would import each other.
 """
 
 import random
@@ -24,22 +24,23 @@
 
 
 class GatewayInterface(typing.Protocol):
-    """One gateway, as a forwarded request sees it.
+    """The gateway as a forwarded request uses it.
 
     Attributes:
-        roster: Targets that are known.
-        placement: Where adapters are and are to be loaded.
-        load_requests: What is told to the processes beside engines.
-        notifier: Wakes a request whose adapter has come.
-        evidence: What is learned of targets from sends to them.
+        roster: Known targets.
+        placement: Where adapters are loaded and are to be loaded.
+        load_requests: Load requests that are sent to the sidecars of engines.
+        notifier: Wakes requests that wait for an adapter.
+        evidence: Records what sends reveal about targets.
         pool: Connections to targets.
         metrics: Metrics of the process.
         random: Its random source.
-        crash_gossip: Which requests end the targets that run them.
-        usage_caps: What client accounts may still use.
+        crash_gossip: Which requests crash the targets that run them.
+        usage_caps: Usage caps of client accounts.
         rate_limits: Rate limits that targets advertise.
-        draining: Whether the process is about to end.
-        waits_end_at_ms: Until when a request may wait for an adapter then.
+        draining: Whether the process is shutting down.
+        waits_end_at_ms: Until when a request may wait for an adapter while
+            the process drains.
     """
 
     roster: roster_lib.Roster
@@ -64,16 +65,16 @@
         """Picks a service of a route by weight."""
 
     def spread(self, bounds_ms: tuple[int, int]) -> int:
-        """Returns a time within bounds, so that returners do not meet."""
+        """Returns a random time within bounds, to spread out retries."""
 
     def budget(self, service: str) -> shared_budget.SharedBudget:
-        """Returns this gateway's part of a service's retry budget."""
+        """Returns this gateway's share of a service's retry budget."""
 
     def has_other(self, service: str, member: roster_lib.Member) -> bool:
-        """Whether another target could take a request of a service."""
+        """Whether another target of a service could accept a request."""
 
     def release(self, address: str, connection: http_client.Connection) -> None:
-        """Returns a connection to the pool after a whole response."""
+        """Returns a connection to the pool after a complete response."""
 
     def discard(self, connection: http_client.Connection) -> None:
         """Closes a connection that was not released."""
--- a/packages/radishd/src/radishd/request/intake.py
+++ b/packages/radishd/src/radishd/request/intake.py
@@ -1,4 +1,4 @@
-"""Reading a caller's request: bounded, checked, nothing run yet."""
+"""Reads and validates a request at an entry daemon before it is sent."""
 
 import dataclasses
 import json
@@ -20,16 +20,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Intake:
-    """A caller's request, read whole.
+    """A caller's request, completely read and parsed.
 
     Attributes:
-        asked: What decides where it goes.
+        asked: The fields that decide where it is sent.
         method: HTTP method.
         path: Path and query for the target.
         content_type: Content type of the body.
         body: The body.
         fields: The body's JSON object, empty for a plain service.
-        streams: Whether the caller wants a stream of events.
+        streams: Whether the caller requests a stream of events.
     """
 
     asked: resolve.Asked
@@ -60,15 +60,15 @@
 async def read_body(
     receive: web.Receive, headers: dict[str, str], limit_bytes: int
 ) -> result.Outcome[bytes]:
-    """Reads a body of bounded size.
+    """Reads a body of limited size.
 
     Args:
         receive: The ASGI channel.
         headers: The request's headers.
-        limit_bytes: Largest body.
+        limit_bytes: Maximum size of the body.
 
     Returns:
-        The body, or a failure if it is too large or the caller left.
+        The body, or a failure if it is too large or the caller disconnected.
     """
     too_large = result.Failure(
         result.BODY_TOO_LARGE,
@@ -82,7 +82,7 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            return result.Failure(result.CANCELLED, "the caller has left")
+            return result.Failure(result.CANCELLED, "the caller disconnected")
         part = message.get("body", b"")
         size_bytes += len(part)
         if size_bytes > limit_bytes:
@@ -127,7 +127,7 @@
 def parse(
     scope: web.Scope, headers: dict[str, str], request_id: str, body: bytes
 ) -> result.Outcome[Intake]:
-    """Makes sense of a request whose route is known.
+    """Parses a request whose route is valid.
 
     Args:
         scope: The ASGI scope.
@@ -136,7 +136,7 @@
         body: Its body.
 
     Returns:
-        The request, or what is wrong with it.
+        The request, or the failure that it is rejected with.
     """
     model, service, fields, streams = "", "", {}, False
     path = scope["path"]
@@ -186,7 +186,7 @@
     if not isinstance(fields.get("model"), str):
         return result.Failure(
             result.BODY_MALFORMED,
-            "the body needs a text field model: a service, an adapter or "
+            "the body needs a string field model: a service, an adapter or "
             "adapter@version",
         )
     failure = _check_content(fields)
@@ -194,14 +194,14 @@
 
 
 def _check_content(fields: dict[str, object]) -> result.Failure | None:
-    """Checks what is to be completed.
+    """Checks the types of the prompt and the messages.
 
-    An engine that takes a number for an empty prompt answers 200 with a text
-    that nobody asked for.
+    An engine that treats a number as an empty prompt responds 200 with a
+    completion that the caller did not ask for.
     """
     prompt = fields.get("prompt", "")
     if not isinstance(prompt, str | list):
-        return _malformed("prompt", prompt, "a text or a list")
+        return _malformed("prompt", prompt, "a string or a list")
     messages = fields.get("messages", [])
     if not isinstance(messages, list):
         return _malformed("messages", messages, "a list of messages")
@@ -210,7 +210,7 @@
         if not isinstance(message, dict):
             return _malformed(path, message, "an object with role and content")
         if not isinstance(message.get("role"), str):
-            return _malformed(f"{path}.role", message.get("role"), "a text")
+            return _malformed(f"{path}.role", message.get("role"), "a string")
     return None
 
 
@@ -222,7 +222,7 @@
 
 
 def body_for(intake: Intake, adapter: str) -> bytes:
-    """Returns the body for the target, its model field exact."""
+    """Returns the body for the target, with the exact adapter as model."""
     if not adapter:
         return intake.body
     return json.dumps({**intake.fields, "model": adapter}).encode()
--- a/packages/radishd/src/radishd/request/serving.py
+++ b/packages/radishd/src/radishd/request/serving.py
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReaderId:
-    """A stream of a connection."""
+    """A reader's connection and stream."""
 
     writer: writer_lib.Writer
     stream: int
@@ -30,7 +30,7 @@
 def refusal_frame(
     failure: result.Failure, load: load_lib.Load
 ) -> frame.Refusal:
-    """Renders a failure as a frame."""
+    """Builds the frame that rejects an attempt with a failure."""
     return frame.Refusal(
         code=failure.code.number,
         message=failure.message,
@@ -41,14 +41,15 @@
 
 
 class ServedRun:
-    """A run with its readers on their connections."""
+    """A run and its readers on their connections."""
 
     def __init__(self, *, adapter: str, keep_bytes: int) -> None:
-        """Starts before the dispatch.
+        """Initializes a run before its dispatch.
 
         Args:
-            adapter: What it runs on, ``name@version``.
-            keep_bytes: Bytes of the answer that are kept for its key.
+            adapter: The adapter that it runs with, ``name@version``.
+            keep_bytes: Maximum bytes of the response that are kept for its
+                idempotency key.
         """
         self.run = run_lib.Run(keep_bytes=keep_bytes)
         self.adapter = adapter
@@ -62,7 +63,7 @@
         self._backlog_changed = anyio.Event()
 
     def attach(self, reader: ReaderId, next_number: int) -> bool:
-        """Adds a reader; False if the chunks it lacks are gone."""
+        """Adds a reader; returns False if chunks it lacks were dropped."""
         attached = self.run.attach(reader, next_number)
         self._backlog_changed.set()
         return attached
@@ -74,7 +75,7 @@
         self._backlog_changed.set()
 
     def reject(self, failure: result.Failure, load: load_lib.Load) -> None:
-        """Answers all readers with a failure and removes them."""
+        """Sends all readers a failure and removes them."""
         refusal = refusal_frame(failure, load)
         for reader in list(self.run.readers):
             reader.writer.write(frame.encode(reader.stream, refusal))
@@ -120,8 +121,8 @@
     async def wait_for_readers(self) -> None:
         """Waits while the slowest reader is two windows behind.
 
-        The target is then not read either, so what one slow caller can hold
-        in memory is bounded, and other streams go on.
+        The target is not read meanwhile, which bounds the memory that a slow
+        caller takes up and leaves other streams unaffected.
         """
         while self.is_backlogged:
             if self.run.keep_bytes and not self.run.readers:
--- a/packages/radishd/src/radishd/request/target_actions.py
+++ b/packages/radishd/src/radishd/request/target_actions.py
@@ -1,4 +1,4 @@
-"""Performs what the decisions of a target say, by kind of action."""
+"""Performs the actions that a target decides on, by type of action."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     from radishd import target as target_lib
 
 
-# The kinds of action are named to ``register``, as it would otherwise look for
-# the process' class, which only type checkers import here.
+# Each action's class is passed to ``register``, which would otherwise resolve
+# the annotations and fail: only type checkers import ``TargetProcess``.
 @functools.singledispatch
 def perform(action: object, process: target_lib.TargetProcess) -> None:
-    """Performs one action of a target's decisions.
+    """Performs one action that a target decided on.
 
     Args:
         action: The action.
-        process: The process whose sockets and clocks it needs.
+        process: The process that provides sockets and clocks.
     """
     raise TypeError(f"unknown action {action!r}")
 
@@ -63,7 +63,7 @@
     if owner is None or not owner.run.whole:
         failure = result.Failure(
             result.ANSWER_NOT_KEPT,
-            "this key ran, and its answer was too large to keep",
+            "this key has run, and its response was too large to keep",
         )
         joining.reject(failure, process.load())
         process.owners.pop(action.attempt_id, None)
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -13,10 +13,11 @@
 
 
 def test_loads_never_overfill_an_engine() -> None:
-    """Symptom: an engine crashes with all its runs.
+    """An engine never holds more adapters than it has adapter slots.
 
-    Sequence: more adapters are asked for at once than it holds, and orders go
-    unanswered. Cause: a load was ordered beside one that was in doubt.
+    More adapters are requested at once than the engine can hold, and orders go
+    unanswered. If another load is ordered while the outcome of one is unknown,
+    the engine is overfilled and crashes with all its runs.
     """
 
     async def play() -> None:
@@ -39,11 +40,11 @@
 
 
 def test_sidecar_sends_status_while_orders_are_unanswered() -> None:
-    """Symptom: callers are refused after 0.6 s while a load is on its way.
+    """A sidecar sends status updates while its engine ignores orders.
 
-    Sequence: an engine leaves order after order unanswered. Cause: the process
-    beside it gave them one after the other and told nothing meanwhile, so
-    gateways took it for gone.
+    A sidecar that sends orders one after the other and no status updates
+    meanwhile looks unavailable to gateways, which reject callers after 0.6 s
+    although a load is in progress.
     """
 
     async def play() -> None:
@@ -57,7 +58,7 @@
                 tasks.start_soon(
                     functools.partial(fleet.call, "/chat/x", adapter="a1")
                 )
-                # More orders than fit between two regular words.
+                # More orders than fit between two regular status updates.
                 await fleet.until(
                     lambda: engine.swallow_orders < 1_000_000 - 6,
                     "orders go unanswered",
@@ -76,10 +77,11 @@
 
 
 def test_late_order_is_rejected_by_the_engine() -> None:
-    """Symptom: an engine crashes seconds after its process gave up an order.
+    """An engine rejects a load order that no longer matches its state.
 
-    Sequence: a load goes unanswered, others follow, then it is carried out.
-    Cause: the order did not name the state that it was decided on.
+    A load goes unanswered and the sidecar sends others; then the first one is
+    carried out. An order that does not name the state it was decided on
+    overfills the engine, which crashes seconds after the order was abandoned.
     """
 
     async def play() -> None:
@@ -95,11 +97,11 @@
 
 
 def test_restarted_engine_loads_adapters() -> None:
-    """Symptom: after a power cut no adapter is loaded any more.
+    """Adapters are loaded after engine and sidecar restart together.
 
-    Sequence: engine and sidecar restart together; the list still names the
-    engine's former start beside the new one. Cause: the sidecar kept to the
-    start that it had heard of last, and each order was refused.
+    After a power cut, the store still lists the engine's former incarnation
+    beside the new one. A sidecar that uses the incarnation it learned of last
+    has each order rejected.
     """
 
     async def play() -> None:
@@ -129,16 +131,17 @@
 
 
 def test_demand_is_sent_as_soon_as_an_engine_is_listed() -> None:
-    """Symptom: after a power cut engines stand empty for 0.4 s longer.
+    """A sidecar gets the demand as soon as its engine is listed.
 
-    Sequence: gateway and sidecar start; the gateway's first regular word is
-    due before it has read the list of targets. Cause: the sidecar learned
-    with the second word only which start of its engine is listed.
+    Gateway and sidecar start together, and the gateway's first periodic demand
+    is due before it has read the list of targets. If the sidecar learns only
+    from the next one which incarnation of its engine is listed, the engine
+    stays empty for 0.4 s longer.
     """
 
     async def play() -> None:
         interval_ms = sidecar_exchange.DEMAND_EVERY_MS
-        # The next regular word would come after the end of the test.
+        # The next periodic demand would come after the end of the test.
         sidecar_exchange.DEMAND_EVERY_MS = 3_600_000
         try:
             async with fixtures.running_fleet(engines=2, plain=0) as fleet:
@@ -151,7 +154,7 @@
 
 
 def test_announced_adapter_version_replaces_the_old_one() -> None:
-    """The old version gives way within seconds, and callers are served."""
+    """The engine loads the new version while callers are served."""
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
@@ -179,10 +182,10 @@
 
 
 def test_older_configuration_is_ignored() -> None:
-    """Symptom: a route that was removed is served again.
+    """A removed route is not served again after an older version arrives.
 
-    Sequence: a peer, or a lagging answer, offers an older version. Cause:
-    the newest answer was taken for the newest version.
+    A peer or a delayed response offers an older version, which must not
+    replace the present one just because it arrived later.
     """
 
     async def play() -> None:
@@ -210,7 +213,7 @@
 
 
 def test_gateway_starts_from_a_peer_in_a_store_outage() -> None:
-    """Symptom: a replaced gateway refuses everything in a store outage."""
+    """A gateway that starts during a store outage serves requests."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -225,10 +228,11 @@
 
 
 def test_targets_with_expired_entries_are_used_after_an_outage() -> None:
-    """Symptom: every request is refused right after a store outage.
+    """Requests are served right after a store outage.
 
-    Sequence: targets cannot renew their entries, which lapse; the store
-    comes back and lists none. Cause: absence was taken for death.
+    Targets cannot renew their entries, which expire, and the store lists no
+    target when it is back. A gateway that takes a missing entry for a stopped
+    target rejects every request.
     """
 
     async def play() -> None:
@@ -258,7 +262,7 @@
 
 
 def test_draining_gateway_completes_requests_and_closes_connections() -> None:
-    """What is in flight ends whole; answers say that the connection ends."""
+    """Requests in flight complete; responses announce the close."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -283,11 +287,12 @@
 
 
 def test_draining_gateway_rejects_waiting_requests_before_it_exits() -> None:
-    """Symptom: at a rolling restart callers find their connection closed.
+    """A request that waits for its adapter is rejected before shutdown.
 
-    Sequence: a request with a long time limit waits for its adapter, the
-    gateway is told to stop, and the load does not come. Cause: the wait was
-    bounded by the request's time only, which ends after the process.
+    A request with a long timeout waits for a load that does not finish, and
+    the gateway is stopped, as in a rolling restart. If only the request's
+    timeout bounds the wait, the process exits first and the caller's
+    connection is closed without a response.
     """
 
     async def play() -> None:
@@ -310,7 +315,7 @@
                 answers.append(
                     await fleet.call("/chat/x", adapter="a1", left_ms=60_000)
                 )
-                # A process that has ended would have cut it.
+                # The exit of the process would have aborted the request.
                 assert not fleet.stopped.is_set()
 
             async with anyio.create_task_group() as tasks:
@@ -325,7 +330,7 @@
 
 
 def test_cached_state_is_dropped_after_a_process_pause() -> None:
-    """Kept connections and words of sidecars are dropped, then learned anew."""
+    """Connections and status updates are dropped, then renewed."""
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
@@ -340,7 +345,7 @@
 
 
 def test_draining_target_gets_no_new_requests() -> None:
-    """Once the list says so, requests go to the other one."""
+    """Once it is listed as draining, requests go to the other target."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -360,11 +365,12 @@
 
 
 def test_failed_watch_makes_all_watches_query_peers() -> None:
-    """Symptom: a gateway cut off from the store serves removed routes.
+    """One failed watch makes all watches of the store query peers.
 
-    Sequence: the link to the store falls silent; the short watch of targets
-    fails; the long watch of the configuration waits for its end, and until
-    then no other gateway is asked. Cause: each watch was doubted alone.
+    The connection to the store stalls. The short watch of targets fails, but
+    the long watch of the configuration still waits for its timeout. If each
+    watch is checked on its own, no peer is queried until then, and the gateway
+    serves removed routes.
     """
 
     async def play() -> None:
@@ -391,10 +397,11 @@
 
 
 def test_share_of_the_retry_budget_shrinks_with_more_gateways() -> None:
-    """Symptom: in a large fleet a sick service gets several times its load.
+    """All gateways together stay within the retry budget of a service.
 
-    Sequence: a gateway takes its part while it knows few others; then it
-    hears of thirty. Cause: the part was fixed at the first request.
+    A gateway computes its share while it knows few others, and then learns of
+    forty. A share that is fixed at the first request lets a large fleet send
+    an unhealthy service several times the allowed retries.
     """
 
     async def play() -> None:
--- a/tests/fleet/test_forwarding_path.py
+++ b/tests/fleet/test_forwarding_path.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway: what callers get, and what targets ran."""
+"""Requests through a gateway: what callers receive, and what targets run."""
 
 import collections
 
@@ -25,7 +25,7 @@
 
 
 def test_stream_waits_until_its_adapter_is_loaded() -> None:
-    """The adapter is nowhere resident; its home loads it, the caller waits."""
+    """No engine holds the adapter: one loads it while the caller waits."""
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
@@ -42,10 +42,10 @@
 
 
 def test_non_repeatable_request_is_not_retried_after_a_reset() -> None:
-    """Symptom: a booking stands twice in the books.
+    """A non-repeatable request, such as a booking, runs at most once.
 
-    Sequence: the target runs it and loses the answer. Cause: a proxy that
-    takes a reset for "not run" sends it to another target.
+    The target runs it and resets the connection. A proxy that treats the reset
+    as proof that nothing ran sends it to another target, and it runs twice.
     """
 
     async def play() -> None:
@@ -60,7 +60,7 @@
 
 
 def test_repeatable_request_is_retried_on_another_target() -> None:
-    """The first target loses its answer; the second one's is passed on."""
+    """The first target resets the connection, the second one responds."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -82,10 +82,10 @@
 
 
 def test_unproven_503_is_not_forwarded() -> None:
-    """Symptom: a caller repeats a booking that has run.
+    """A 503 without proof that the request did not run becomes a 502.
 
-    Sequence: a target runs it and answers 503 without saying that it did not
-    run. Cause: passed on, the status is a promise that nothing ran.
+    Callers treat a 503 as a promise that nothing ran. Forwarded from a target
+    that ran the request, it makes a caller repeat a booking.
     """
 
     async def play() -> None:
@@ -100,7 +100,7 @@
 
 
 def test_proven_rejection_carries_retry_after() -> None:
-    """A full target proved that nothing ran; the caller is told at once."""
+    """A full target proves that nothing ran; the caller may retry soon."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -115,10 +115,11 @@
 
 
 def test_interrupted_resumable_stream_is_completed() -> None:
-    """Symptom: a summary stops in mid sentence, or repeats a piece.
+    """A stream that one target interrupts is continued by another one.
 
-    Sequence: the target breaks off in the middle of an event. Cause: half an
-    event was passed on, or the second target began anew.
+    The target closes the connection in the middle of an event. The caller's
+    text has a gap or a repetition if the incomplete event is forwarded, or if
+    the second target starts from the beginning.
     """
 
     async def play() -> None:
@@ -141,9 +142,9 @@
 
 
 def test_interrupted_non_resumable_stream_is_aborted() -> None:
-    """Symptom: a caller files half a draft as the whole one.
+    """A stream that cannot be resumed is aborted, not ended normally.
 
-    Sequence: the target breaks off. Cause: the gateway ended the answer.
+    Ended normally by the gateway, half a draft looks complete to its caller.
     """
 
     async def play() -> None:
@@ -160,11 +161,11 @@
 
 
 def test_duplicate_response_is_discarded() -> None:
-    """Symptom: a caller gets the answer to another's request.
+    """A caller never receives the response to another request.
 
-    Sequence: a target answers a request twice; the second answer arrives on
-    the kept connection as the next request is sent on it. Cause: the next
-    answer on a connection was taken for the answer to the last request.
+    A target responds to a request twice. The second response arrives on the
+    reused connection while the next request is sent on it, and must not be
+    taken for the response to that request.
     """
 
     async def play() -> None:
@@ -181,7 +182,7 @@
 
 
 def test_response_without_length_ends_when_the_connection_closes() -> None:
-    """It is whole when the target closes in order."""
+    """The response is complete when the target closes without an error."""
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
@@ -195,9 +196,10 @@
 
 
 def test_engine_control_headers_of_callers_are_dropped() -> None:
-    """Symptom: a caller jumps the queue, or reads another's memory.
+    """Headers that control an engine are not forwarded from callers.
 
-    Cause: headers that steer an engine were passed on as they came.
+    With them, a caller could raise its priority in the engine's queue or read
+    the memory of another request.
     """
 
     async def play() -> None:
@@ -223,7 +225,7 @@
 
 
 def test_unknown_route_and_large_body_are_rejected() -> None:
-    """Both get an answer of ours, and nothing reaches a target."""
+    """The gateway responds to both itself, and nothing reaches a target."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -237,7 +239,7 @@
 
 
 def test_caller_disconnect_stops_the_work_at_the_target() -> None:
-    """The connection to the target is closed, so that its work stops."""
+    """The gateway closes the connection to the target, whose work stops."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -257,11 +259,11 @@
 
 
 def test_stalled_stream_is_kept_if_no_other_target_can_resume_it() -> None:
-    """Symptom: a summary stops in the middle although its target goes on.
+    """A stalled stream stays at its target if no other one can resume it.
 
-    Sequence: the target pauses for longer than is on time; no other target
-    holds the adapter, nor can load it. Cause: the silent target was left
-    before it was known that the stream could go on anywhere.
+    The target pauses for longer than the gap objective; no other target holds
+    the adapter or can load it. Without a check that another target can resume
+    the stream, the gateway abandons the target and the stream is lost.
     """
 
     async def play() -> None:
@@ -290,7 +292,7 @@
 async def _one_slow_and_one_full_engine(
     fleet: fixtures.Fleet, event_ms: float
 ) -> platform_engine.PlatformEngine:
-    """Has both engines hold an adapter; one pauses, the other is full."""
+    """Makes both engines hold an adapter; one pauses, the other is full."""
     await fleet.call("/long/x", adapter="a1")
     (holder,) = (one for one in fleet.targets.values() if one.adapters)
     (other,) = (
@@ -300,7 +302,7 @@
     other.fault = lambda seen: Fault.SHED
     for member in fleet.gateway.roster.members.values():
         if member.listing.instance == other.instance:
-            # The first send goes to the one that pauses.
+            # The first send goes to the engine that pauses.
             member.health.failure_share = 0.3
     views = fleet.gateway.placement.views
     await fleet.until(
@@ -322,12 +324,12 @@
 
 
 def test_slow_stream_is_not_aborted_when_the_other_engine_is_full() -> None:
-    """Symptom: a draining gateway cuts a summary that its engine goes on with.
+    """A draining gateway keeps a stream whose engine pauses repeatedly.
 
-    Sequence: the engine reads prompts between tokens and pauses for longer
-    than the objective again and again; the gateway leaves the run for another
-    holder, which is full and refuses it. Cause: a pause was taken for a run
-    that has ended, and the refusal at the other holder for the end of all.
+    The engine processes prompts between tokens, so its pauses exceed the
+    objective. If the gateway takes a pause for a failed run, it sends the
+    request to the other engine that holds the adapter. That one is full, and
+    its rejection must not abort the stream.
     """
 
     async def play() -> None:
@@ -354,11 +356,12 @@
 
 
 def test_interrupted_stream_is_resumed_after_a_rejection() -> None:
-    """Symptom: a summary is cut although its first engine would go on.
+    """An interrupted stream is resumed although one engine rejects it.
 
-    Sequence: the engine ends in the middle of the run; the other holder is
-    full for a moment and refuses. Cause: a refusal, which proves
-    that nothing ran, was the end of a stream with most of its time left.
+    The engine fails in the middle of the run; the other engine that holds
+    the adapter is full for a moment and rejects the request. The rejection
+    proves that nothing ran there, and most of the stream's time is left: it
+    must not abort a stream that the first engine can resume.
     """
 
     async def play() -> None:
@@ -385,10 +388,11 @@
 
 
 def test_lost_response_is_not_reported_as_not_executed() -> None:
-    """Symptom: a caller is told that a summary was not run, and it was.
+    """The outcome is unknown after a lost response and a failed retry.
 
-    Sequence: an engine runs it and loses the answer; no other engine can load
-    the adapter. Cause: the refusal to place it again spoke for both sends.
+    An engine runs the request and resets the connection; no other engine can
+    load the adapter. That the retry was not sent does not prove that the first
+    send did not run.
     """
 
     async def play() -> None:
