--- a/packages/radishd/src/radishd/request/caller.py
+++ b/packages/radishd/src/radishd/request/caller.py
@@ -191,7 +191,7 @@
                 target
             )
         if target_config is None:
-            return result.Failure(result.NO_TARGET, f"unknown target {target}")
+            return result.Failure(result.NO_TARGET, f"no target {target}")
         link = await self.entry.links.get(target, target_config.address)
         if isinstance(link, result.Failure):
             self.entry.router.failed(target, clock.now_ms())
--- a/packages/radishd/src/radishd/request/callers_port.py
+++ b/packages/radishd/src/radishd/request/callers_port.py
@@ -181,7 +181,7 @@
         forward.state.may_have_run = forward.sent
         failure = result.Failure(
             result.INTERNAL,
-            "the gateway aborted the request after an internal error",
+            "this gateway broke off the request",
         )
         await forward.reply(failure)
 
@@ -196,9 +196,7 @@
     def _log_request(self, forward: forward_lib.Forward, *, left: bool) -> None:
         failure = forward.failure
         if left and failure is None:
-            failure = result.Failure(
-                result.CANCELLED, "the caller disconnected"
-            )
+            failure = result.Failure(result.CANCELLED, "the caller left")
         self._count_request(failure)
         now_ms = clock.boot_ms()
         fields: dict[str, Any] = {}
@@ -239,7 +237,7 @@
         size_bytes += len(piece)
         if size_bytes > max_bytes:
             return result.Failure(
-                result.BODY_TOO_LARGE, f"the body exceeds {max_bytes} bytes"
+                result.BODY_TOO_LARGE, f"more than {max_bytes} bytes"
             )
         pieces.append(piece)
         if not message.get("more_body"):
--- a/packages/radishd/src/radishd/request/engine_call.py
+++ b/packages/radishd/src/radishd/request/engine_call.py
@@ -91,7 +91,7 @@
     except store_lib.NETWORK_ERRORS as error:
         yield result.Failure(
             result.TARGET_FAILED,
-            f"target connection lost: {type(error).__name__} {error}".rstrip(),
+            f"the target was lost: {type(error).__name__} {error}".rstrip(),
         )
 
 
@@ -114,7 +114,7 @@
         # It rejects a model that is not loaded before it runs anything.
         yield result.Failure(
             result.TARGET_COLD,
-            f"the engine no longer has {attempt.adapter} loaded",
+            f"the engine does not hold {attempt.adapter} any more",
             COLD_RETRY_MS,
         )
         return
@@ -141,7 +141,7 @@
         if size_bytes > limits.max_answer_bytes:
             yield result.Failure(
                 result.TARGET_FAILED,
-                f"the response is larger than {limits.max_answer_bytes} bytes",
+                f"the answer is larger than {limits.max_answer_bytes} bytes",
             )
             return
         pieces.append(piece)
@@ -150,7 +150,7 @@
         if head.status >= MIN_SERVER_ERROR_STATUS:
             yield result.Failure(
                 result.TARGET_FAILED,
-                f"the engine responded with status {head.status}",
+                f"the engine answered {head.status}",
             )
             return
         if head.status == OK and not check_model(_parse_model(body)):
@@ -193,7 +193,7 @@
     if DONE_EVENT not in tail:
         yield result.Failure(
             result.TARGET_FAILED,
-            "the engine ended the stream before its end marker",
+            "the engine ended the stream in the middle",
         )
 
 
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -176,7 +176,7 @@
         if self.response_started:
             self.failure = result.Failure(
                 result.ROUTE_TIMEOUT,
-                "the stream did not end before the deadline",
+                "the stream had not ended in time",
             )
             raise ResponseAbortedError
         await self.reply(self.state.timed_out(sent=self.sent))
@@ -283,7 +283,7 @@
             return None
         return result.Failure(
             result.REQUEST_ENDS_TARGETS,
-            f"targets crashed {quarantine.moments} times running this request",
+            f"targets ended at {quarantine.moments} times under this request",
             max(quarantine.left_ms, crash_evidence.TRIAL_MS),
         )
 
@@ -413,7 +413,7 @@
         )
         return result.Failure(
             code,
-            f"no target of {self.service} can accept the request",
+            f"no target of {self.service} can take it",
             backoff_ms + retry_after_ms,
         )
 
@@ -468,7 +468,7 @@
         invariant.require(
             not self.request.left_ms or left_ms <= self.request.left_ms,
             result.DEADLINE_GREW,
-            f"{left_ms} ms left, the caller allowed {self.request.left_ms} ms",
+            f"{left_ms} of {self.request.left_ms} ms",
         )
         self.state.sending(listing.instance)
         priority = None
--- a/packages/radishd/src/radishd/request/intake.py
+++ b/packages/radishd/src/radishd/request/intake.py
@@ -82,7 +82,7 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            return result.Failure(result.CANCELLED, "the caller disconnected")
+            return result.Failure(result.CANCELLED, "the caller has left")
         part = message.get("body", b"")
         size_bytes += len(part)
         if size_bytes > limit_bytes:
@@ -186,7 +186,7 @@
     if not isinstance(fields.get("model"), str):
         return result.Failure(
             result.BODY_MALFORMED,
-            "the body needs a string field model: a service, an adapter or "
+            "the body needs a text field model: a service, an adapter or "
             "adapter@version",
         )
     failure = _check_content(fields)
@@ -201,7 +201,7 @@
     """
     prompt = fields.get("prompt", "")
     if not isinstance(prompt, str | list):
-        return _malformed("prompt", prompt, "a string or a list")
+        return _malformed("prompt", prompt, "a text or a list")
     messages = fields.get("messages", [])
     if not isinstance(messages, list):
         return _malformed("messages", messages, "a list of messages")
@@ -210,7 +210,7 @@
         if not isinstance(message, dict):
             return _malformed(path, message, "an object with role and content")
         if not isinstance(message.get("role"), str):
-            return _malformed(f"{path}.role", message.get("role"), "a string")
+            return _malformed(f"{path}.role", message.get("role"), "a text")
     return None
 
 
--- a/packages/radishd/src/radishd/request/target_actions.py
+++ b/packages/radishd/src/radishd/request/target_actions.py
@@ -63,7 +63,7 @@
     if owner is None or not owner.run.whole:
         failure = result.Failure(
             result.ANSWER_NOT_KEPT,
-            "this key has run, and its response was too large to keep",
+            "this key ran, and its answer was too large to keep",
         )
         joining.reject(failure, process.load())
         process.owners.pop(action.attempt_id, None)
