--- a/packages/radishd/src/radishd/request/caller.py
+++ b/packages/radishd/src/radishd/request/caller.py
@@ -1,4 +1,7 @@
-"""One caller's request at an entry daemon, on real sockets."""
+"""Serves one request at an entry daemon: the I/O to caller and target.
+
+Retries and resumptions are decided in ``radishstack.request.exchange``.
+"""
 
 import dataclasses
 import functools
@@ -25,11 +28,11 @@
 
 MS_PER_S = 1000.0
 ACK_EVERY_CHUNKS = 16
-RESUME_PAUSE_MS = 50
+RESUME_RETRY_DELAY_MS = 50
 REHOME_WAIT_MS = 1_000
 DEADLINE_GRACE_MS = 250
 
-_EXECUTED = (
+_EXECUTED_BY_NUMBER = (
     result.Executed.NO,
     result.Executed.YES,
     result.Executed.UNKNOWN,
@@ -37,17 +40,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Deadline:
-    """Put into the inbox when the caller's time is over."""
+class DeadlineExceeded:
+    """An inbox item: the deadline of the request has passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Left:
-    """Put into the inbox when the caller has left."""
+class Disconnected:
+    """An inbox item: the caller has closed its connection."""
 
 
 class Caller:
-    """Drives the decisions of one request."""
+    """Performs the actions that the exchange of one request decides on."""
 
     def __init__(
         self,
@@ -58,15 +61,16 @@
         send: web.Send,
         accepted_at_ms: int,
     ) -> None:
-        """Prepares a request that is valid and resolved.
+        """Initializes a request that is valid and resolved.
 
         Args:
-            entry: The daemon.
-            intake: The request.
-            held: The version it was resolved against, held to its end.
-            resolution: What it asks for.
+            entry: The entry daemon.
+            intake: The parsed request.
+            held: The configuration version it was resolved against, kept
+                until the request ends.
+            resolution: Its service, adapter and candidate targets.
             send: The ASGI channel to the caller.
-            accepted_at_ms: When it came in, on the monotonic clock.
+            accepted_at_ms: When it arrived, on the monotonic clock.
         """
         self.entry = entry
         self.intake = intake
@@ -82,24 +86,24 @@
         self.inbox = inbox_lib.Inbox()
         self._interrupts: list[object] = []
         self.exchange: exchange_lib.Exchange | None = None
-        self.unacked = 0
+        self.unacked_chunks = 0
         self.head_sent = False
         self.failure: result.Failure | None = None
         self.target = ""
 
     def interrupt(self, item: object) -> None:
-        """Puts something beside what the target sends."""
+        """Adds an inbox item that does not come from the target."""
         self._interrupts.append(item)
         self.inbox.put(item)
 
-    def _renew_inbox(self) -> None:
-        """Leaves behind what an earlier stream sent, but no interrupt."""
+    def _reset_inbox(self) -> None:
+        """Drops the items of an earlier stream, but keeps interrupts."""
         self.inbox = inbox_lib.Inbox()
         for item in self._interrupts:
             self.inbox.put(item)
 
     async def run(self) -> None:
-        """Runs the request to its one outcome."""
+        """Runs the request until it has an outcome."""
         candidates = await self.entry.rank(self.resolution, self.held)
         self.exchange = exchange_lib.Exchange(
             self.resolution,
@@ -112,41 +116,43 @@
             while not self.exchange.done:
                 item = self.inbox.take_ready()
                 if item is None:
-                    self._ack()
+                    self._send_ack()
                     item = await self.inbox.take()
-                await self._take(item)
+                await self._handle_item(item)
         finally:
             self._close_stream()
 
-    async def _take(self, item: object) -> None:
+    async def _handle_item(self, item: object) -> None:
         now_ms = clock.now_ms()
         match item:
             case frame.Chunk(number=number, payload=payload):
                 event = exchange_lib.Arrived(number, payload)
             case frame.Accepted():
-                self._observe(item.load, now_ms)
+                self._record_load(item.load, now_ms)
                 event = exchange_lib.Started(
                     item.status, item.content_type, item.adapter
                 )
             case frame.End():
-                event = exchange_lib.EndArrived(item.total, _failure_of(item))
+                event = exchange_lib.EndArrived(
+                    item.total, _failure_from_end(item)
+                )
             case frame.Refusal():
-                await self._take_refusal(item, now_ms)
+                await self._handle_refusal(item, now_ms)
                 return
             case result.Failure():
                 self.entry.router.failed(self.target, now_ms)
                 event = exchange_lib.Lost()
-            case Deadline():
+            case DeadlineExceeded():
                 event = exchange_lib.Expired()
-            case Left():
+            case Disconnected():
                 event = exchange_lib.CallerLeft()
             case _:
                 return
         await self._perform_all(self.exchange.handle(event, now_ms))
 
-    async def _take_refusal(self, body: frame.Refusal, now_ms: int) -> None:
-        self._observe(body.load, now_ms)
-        failure = _refusal_failure(body)
+    async def _handle_refusal(self, body: frame.Refusal, now_ms: int) -> None:
+        self._record_load(body.load, now_ms)
+        failure = _failure_from_refusal(body)
         if failure.code is result.RUN_UNKNOWN:
             actions = exchange_lib.resume_failed(self.exchange, now_ms)
         else:
@@ -154,7 +160,7 @@
             actions = self.exchange.handle(event, now_ms)
         await self._perform_all(actions)
 
-    def _observe(self, load: object, now_ms: int) -> None:
+    def _record_load(self, load: object, now_ms: int) -> None:
         self.entry.router.observe(
             self.target, self.resolution.adapter, load, now_ms
         )
@@ -168,10 +174,10 @@
             self.link.close(self.stream)
             self.link = None
 
-    def _ack(self) -> None:
-        """Tells the target what has reached the caller, now and then."""
-        if self.unacked and self.link is not None and not self.link.lost:
-            self.unacked = 0
+    def _send_ack(self) -> None:
+        """Acknowledges the chunks that were forwarded to the caller."""
+        if self.unacked_chunks and self.link is not None and not self.link.lost:
+            self.unacked_chunks = 0
             self.link.send(
                 self.stream, frame.Ack(self.exchange.sequence.expected)
             )
@@ -179,23 +185,25 @@
     async def open_stream(self, target: str) -> result.Failure | None:
         """Opens a stream to a target for a submission or a resumption."""
         self._close_stream()
-        known = self.held.document.targets.get(target)
-        if known is None:
-            known = self.entry.configuration.held.document.targets.get(target)
-        if known is None:
+        target_config = self.held.document.targets.get(target)
+        if target_config is None:
+            target_config = self.entry.configuration.held.document.targets.get(
+                target
+            )
+        if target_config is None:
             return result.Failure(result.NO_TARGET, f"no target {target}")
-        link = await self.entry.links.get(target, known.address)
+        link = await self.entry.links.get(target, target_config.address)
         if isinstance(link, result.Failure):
             self.entry.router.failed(target, clock.now_ms())
             return link
         self.link = link
         self.target = target
-        self._renew_inbox()
+        self._reset_inbox()
         self.stream = link.adopt(self.inbox)
         return None
 
     def submit_frame(self, now_ms: int) -> frame.Submit:
-        """Makes the submission of a new attempt."""
+        """Builds the frame that submits a new attempt."""
         resolution, intake = self.resolution, self.intake
         self.attempt_id = secrets.token_bytes(frame.ATTEMPT_ID_BYTES)
         return frame.Submit(
@@ -218,12 +226,12 @@
         )
 
     async def reply(self, failure: result.Failure) -> None:
-        """Answers with a failure, or cuts the answer that has begun.
+        """Sends a failure, or aborts a response that has started.
 
         Raises:
-            CutError: If the answer has begun. It must not end like a whole
-                one; raising makes the server close the connection in the
-                middle of the body.
+            ResponseAbortedError: If the response has started. It must not
+                look complete, and the exception makes the server close the
+                connection in the middle of the body.
         """
         self.failure = failure
         if not self.head_sent:
@@ -236,29 +244,29 @@
             await self.send(
                 {
                     "type": "http.response.body",
-                    "body": error_body.event(failure),
+                    "body": error_body.encode_event(failure),
                     "more_body": True,
                 }
             )
-        raise CutError(failure)
+        raise ResponseAbortedError(failure)
 
     async def send(self, message: web.Message) -> None:
         """Sends the caller an ASGI message."""
         await self._send(message)
 
 
-def _failure_of(end: frame.End) -> result.Failure | None:
+def _failure_from_end(end: frame.End) -> result.Failure | None:
     if end.code == 0:
         return None
     return result.Failure(result.find_code(end.code), end.message)
 
 
-def _refusal_failure(body: frame.Refusal) -> result.Failure:
-    proof = result.Executed.UNKNOWN
-    if body.executed < len(_EXECUTED):
-        proof = _EXECUTED[body.executed]
+def _failure_from_refusal(body: frame.Refusal) -> result.Failure:
+    executed = result.Executed.UNKNOWN
+    if body.executed < len(_EXECUTED_BY_NUMBER):
+        executed = _EXECUTED_BY_NUMBER[body.executed]
     return result.Failure(
-        result.find_code(body.code), body.message, body.retry_after_ms, proof
+        result.find_code(body.code), body.message, body.retry_after_ms, executed
     )
 
 
@@ -288,7 +296,7 @@
     caller.entry.metrics.resumes.inc({})
     failure = await caller.open_stream(action.target)
     if failure is not None:
-        await anyio.sleep(RESUME_PAUSE_MS / MS_PER_S)
+        await anyio.sleep(RESUME_RETRY_DELAY_MS / MS_PER_S)
         failure = await caller.open_stream(action.target)
     if failure is not None:
         actions = exchange_lib.resume_failed(caller.exchange, clock.now_ms())
@@ -301,7 +309,7 @@
 
 @_perform.register
 async def _rehome(action: exchange_lib.Rehome, caller: Caller) -> None:
-    """Finds the home of a key in a newer version than the request's."""
+    """Looks up the home of a key in a newer configuration version."""
     del action
     entry, resolution = caller.entry, caller.resolution
     await entry.configuration.wait_for(resolution.version + 1, REHOME_WAIT_MS)
@@ -356,9 +364,9 @@
             "more_body": True,
         }
     )
-    caller.unacked += 1
-    if caller.unacked >= ACK_EVERY_CHUNKS:
-        caller._ack()
+    caller.unacked_chunks += 1
+    if caller.unacked_chunks >= ACK_EVERY_CHUNKS:
+        caller._send_ack()
 
 
 @_perform.register
@@ -380,11 +388,11 @@
     caller._close_stream()
 
 
-class CutError(Exception):
-    """Ends a caller's connection in the middle of an answer."""
+class ResponseAbortedError(Exception):
+    """Aborts the connection of a caller in the middle of a response."""
 
     def __init__(self, failure: result.Failure) -> None:
-        """Keeps the failure for the log."""
+        """Stores the failure for the log."""
         super().__init__(failure.message)
         self.failure = failure
 
@@ -392,7 +400,7 @@
 async def reply_failure(
     failure: result.Failure, request_id: str, send: web.Send
 ) -> None:
-    """Answers a request with a failure."""
+    """Sends a failure as the response to a request."""
     body = error_body.encode(failure)
     headers = [
         *error_body.headers(failure),
@@ -412,7 +420,7 @@
 def log_outcome(
     caller: Caller, failure: result.Failure | None, took_ms: int
 ) -> None:
-    """Logs the one outcome of a request."""
+    """Logs the outcome of a request."""
     logs.info(
         "request_ended",
         request_id=caller.intake.asked.request_id,
--- a/packages/radishd/src/radishd/request/engine_call.py
+++ b/packages/radishd/src/radishd/request/engine_call.py
@@ -1,4 +1,4 @@
-"""One request at the target itself: the engine or the plain service."""
+"""Calls of a target process to its engine or plain service."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -20,16 +20,16 @@
 OK = 200
 NOT_FOUND = 404
 COLD_RETRY_MS = 500
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one call.
+    """Limits of one call.
 
     Attributes:
-        connect_ms: How long connecting and sending may take.
-        max_answer_bytes: Largest answer that is read whole.
+        connect_ms: Timeout of the connect and of each write.
+        max_answer_bytes: Maximum size of a response that is buffered.
     """
 
     connect_ms: int
@@ -38,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """Status and content type of an answer."""
+    """Status and content type of a response."""
 
     status: int
     content_type: str
 
 
-Part = Head | bytes | result.Failure
-Report = Callable[[str], bool]
+ResponsePart = Head | bytes | result.Failure
+ModelCheck = Callable[[str], bool]
 
 
 async def call(
@@ -53,20 +53,21 @@
     url: str,
     attempt: attempt_lib.Attempt,
     limits: Limits,
-    report: Report,
-) -> AsyncIterator[Part]:
-    """Runs an attempt and yields its answer.
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
+    """Runs an attempt and yields its response.
 
     Args:
         pool: Connections to the target.
         url: Its base URL.
-        attempt: What to run.
-        limits: Bounds of the call.
-        report: Told what the engine says it runs on, before any of the
-            answer is passed on; returns whether to go on.
+        attempt: The attempt to run.
+        limits: Limits of the call.
+        check_model: Called with the model that the response names, before
+            any of the response is yielded, and again if a later event names
+            another one; returns whether to continue.
 
     Yields:
-        The head, then the pieces; a failure ends it early.
+        The head, then the body in pieces; a failure is the last item.
     """
     timeout_s = limits.connect_ms / MS_PER_S
     headers = [
@@ -83,7 +84,7 @@
             content=attempt.body,
             extensions={"timeout": {"connect": timeout_s, "write": timeout_s}},
         ) as response:
-            parts = _read(response, attempt, limits, report)
+            parts = _read(response, attempt, limits, check_model)
             async with contextlib.aclosing(parts):
                 async for part in parts:
                     yield part
@@ -105,12 +106,12 @@
     response: httpcore.Response,
     attempt: attempt_lib.Attempt,
     limits: Limits,
-    report: Report,
-) -> AsyncIterator[Part]:
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
     head = Head(response.status, _content_type(response))
     if attempt.adapter and head.status == NOT_FOUND:
-        # The engine restarted cold since the dispatch. It refuses a model
-        # it does not hold before it runs anything.
+        # The engine has restarted since the dispatch and lost its adapters.
+        # It rejects a model that is not loaded before it runs anything.
         yield result.Failure(
             result.TARGET_COLD,
             f"the engine does not hold {attempt.adapter} any more",
@@ -118,9 +119,9 @@
         )
         return
     if attempt.adapter and head.content_type.startswith(EVENT_STREAM):
-        parts = _read_events(response, head, attempt, report)
+        parts = _read_events(response, head, attempt, check_model)
     else:
-        parts = _read_whole(response, head, attempt, limits, report)
+        parts = _read_whole(response, head, attempt, limits, check_model)
     async with contextlib.aclosing(parts):
         async for part in parts:
             yield part
@@ -131,8 +132,8 @@
     head: Head,
     attempt: attempt_lib.Attempt,
     limits: Limits,
-    report: Report,
-) -> AsyncIterator[Part]:
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
     pieces = []
     size_bytes = 0
     async for piece in response.aiter_stream():
@@ -146,12 +147,13 @@
         pieces.append(piece)
     body = b"".join(pieces)
     if attempt.adapter:
-        if head.status >= FIRST_SERVER_ERROR:
+        if head.status >= MIN_SERVER_ERROR_STATUS:
             yield result.Failure(
-                result.TARGET_FAILED, f"the engine answered {head.status}"
+                result.TARGET_FAILED,
+                f"the engine answered {head.status}",
             )
             return
-        if head.status == OK and not report(_model_of(body)):
+        if head.status == OK and not check_model(_parse_model(body)):
             return
     yield head
     yield body
@@ -161,12 +163,12 @@
     response: httpcore.Response,
     head: Head,
     attempt: attempt_lib.Attempt,
-    report: Report,
-) -> AsyncIterator[Part]:
-    """Passes events on as they come, whole answers only.
+    check_model: ModelCheck,
+) -> AsyncIterator[ResponsePart]:
+    """Yields events as they arrive, and a failure if the end marker is missing.
 
-    The first event is parsed and holds the adapter that ran. Later ones are
-    only searched for its name, and parsed where it is missing.
+    The first event is parsed for the model that ran. Later pieces are only
+    searched for the adapter's name, and parsed if it does not occur.
     """
     name = json.dumps(attempt.adapter).encode()
     stream = response.aiter_stream()
@@ -175,23 +177,27 @@
         first += piece
         if EVENT_END in first:
             break
-    if not report(_model_of_event(first)):
+    if not check_model(_parse_event_model(first)):
         return
     yield head
     yield first
+    # 8 bytes more than the end marker, for the line breaks after it.
     tail = first[-len(DONE_EVENT) - 8 :]
     async for piece in stream:
-        if name not in piece and not _same_model(piece, attempt, report):
+        if name not in piece and not _check_piece_model(
+            piece, attempt, check_model
+        ):
             return
         yield piece
         tail = (tail + piece)[-len(DONE_EVENT) - 8 :]
     if DONE_EVENT not in tail:
         yield result.Failure(
-            result.TARGET_FAILED, "the engine ended the stream in the middle"
+            result.TARGET_FAILED,
+            "the engine ended the stream in the middle",
         )
 
 
-def _model_of(body: bytes) -> str:
+def _parse_model(body: bytes) -> str:
     try:
         value = json.loads(body)
     except ValueError:
@@ -199,20 +205,20 @@
     return str(value.get("model", "")) if isinstance(value, dict) else ""
 
 
-def _model_of_event(data: bytes) -> str:
+def _parse_event_model(data: bytes) -> str:
     line = data.partition(EVENT_END)[0].strip()
-    return _model_of(line.removeprefix(DATA_PREFIX))
+    return _parse_model(line.removeprefix(DATA_PREFIX))
 
 
-def _same_model(
-    piece: bytes, attempt: attempt_lib.Attempt, report: Report
+def _check_piece_model(
+    piece: bytes, attempt: attempt_lib.Attempt, check_model: ModelCheck
 ) -> bool:
-    """Parses a piece that does not name the adapter literally."""
+    """Checks a piece in which the adapter's name does not occur."""
     for event in piece.split(EVENT_END):
         line = event.strip()
         if not line.startswith(DATA_PREFIX) or line == DONE_EVENT:
             continue
-        model = _model_of_event(line)
+        model = _parse_event_model(line)
         if model and model != attempt.adapter:
-            return report(model)
+            return check_model(model)
     return True
--- a/packages/radishd/src/radishd/request/intake.py
+++ b/packages/radishd/src/radishd/request/intake.py
@@ -1,4 +1,4 @@
-"""Reading a caller's request: bounded, checked, nothing run yet."""
+"""Reads and validates a request at an entry daemon before it is sent."""
 
 import dataclasses
 import json
@@ -20,16 +20,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Intake:
-    """A caller's request, read whole.
+    """A caller's request, completely read and parsed.
 
     Attributes:
-        asked: What decides where it goes.
+        asked: The fields that decide where it is sent.
         method: HTTP method.
         path: Path and query for the target.
         content_type: Content type of the body.
         body: The body.
         fields: The body's JSON object, empty for a plain service.
-        streams: Whether the caller wants a stream of events.
+        streams: Whether the caller requests a stream of events.
     """
 
     asked: resolve.Asked
@@ -51,24 +51,24 @@
 
 def request_id_of(headers: dict[str, str]) -> str:
     """Returns the caller's request id, or a new one."""
-    given = headers.get("x-request-id", "")
-    if given.isascii() and given.isprintable() and given:
-        return given[:MAX_REQUEST_ID_CHARS]
+    caller_id = headers.get("x-request-id", "")
+    if caller_id.isascii() and caller_id.isprintable() and caller_id:
+        return caller_id[:MAX_REQUEST_ID_CHARS]
     return secrets.token_hex(REQUEST_ID_BYTES)
 
 
 async def read_body(
     receive: web.Receive, headers: dict[str, str], limit_bytes: int
 ) -> result.Outcome[bytes]:
-    """Reads a body of bounded size.
+    """Reads a body of limited size.
 
     Args:
         receive: The ASGI channel.
         headers: The request's headers.
-        limit_bytes: Largest body.
+        limit_bytes: Maximum size of the body.
 
     Returns:
-        The body, or a failure if it is too large or the caller left.
+        The body, or a failure if it is too large or the caller disconnected.
     """
     too_large = result.Failure(
         result.BODY_TOO_LARGE,
@@ -127,7 +127,7 @@
 def parse(
     scope: web.Scope, headers: dict[str, str], request_id: str, body: bytes
 ) -> result.Outcome[Intake]:
-    """Makes sense of a request whose route is known.
+    """Parses a request whose route is valid.
 
     Args:
         scope: The ASGI scope.
@@ -136,7 +136,7 @@
         body: Its body.
 
     Returns:
-        The request, or what is wrong with it.
+        The request, or the failure that it is rejected with.
     """
     model, service, fields, streams = "", "", {}, False
     path = scope["path"]
@@ -189,15 +189,15 @@
             "the body needs a text field model: a service, an adapter or "
             "adapter@version",
         )
-    wrong = _check_content(fields)
-    return fields if wrong is None else wrong
+    failure = _check_content(fields)
+    return fields if failure is None else failure
 
 
 def _check_content(fields: dict[str, object]) -> result.Failure | None:
-    """Checks what is to be completed.
+    """Checks the types of the prompt and the messages.
 
-    An engine that takes a number for an empty prompt answers 200 with a text
-    that nobody asked for.
+    An engine that treats a number as an empty prompt responds 200 with a
+    completion that the caller did not ask for.
     """
     prompt = fields.get("prompt", "")
     if not isinstance(prompt, str | list):
@@ -214,15 +214,15 @@
     return None
 
 
-def _malformed(path: str, value: object, wanted: str) -> result.Failure:
+def _malformed(path: str, value: object, expected: str) -> result.Failure:
     return result.Failure(
         result.BODY_MALFORMED,
-        f"{path} is {checks.shorten(value)}; it must be {wanted}",
+        f"{path} is {checks.shorten(value)}; it must be {expected}",
     )
 
 
 def body_for(intake: Intake, adapter: str) -> bytes:
-    """Returns the body for the target, its model field exact."""
+    """Returns the body for the target, with the exact adapter as model."""
     if not adapter:
         return intake.body
     return json.dumps({**intake.fields, "model": adapter}).encode()
--- a/packages/radishd/src/radishd/request/serving.py
+++ b/packages/radishd/src/radishd/request/serving.py
@@ -21,14 +21,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReaderId:
-    """A stream of a connection."""
+    """A reader's connection and stream."""
 
     writer: writer_lib.Writer
     stream: int
 
 
-def refusal_of(failure: result.Failure, load: load_lib.Load) -> frame.Refusal:
-    """Renders a failure as a frame."""
+def refusal_frame(
+    failure: result.Failure, load: load_lib.Load
+) -> frame.Refusal:
+    """Builds the frame that rejects an attempt with a failure."""
     return frame.Refusal(
         code=failure.code.number,
         message=failure.message,
@@ -38,15 +40,16 @@
     )
 
 
-class Serving:
-    """A run with its readers on their connections."""
+class ServedRun:
+    """A run and its readers on their connections."""
 
     def __init__(self, *, adapter: str, keep_bytes: int) -> None:
-        """Starts before the dispatch.
+        """Initializes a run before its dispatch.
 
         Args:
-            adapter: What it runs on, ``name@version``.
-            keep_bytes: Bytes of the answer that are kept for its key.
+            adapter: The adapter that it runs with, ``name@version``.
+            keep_bytes: Maximum bytes of the response that are kept for its
+                idempotency key.
         """
         self.run = run_lib.Run(keep_bytes=keep_bytes)
         self.adapter = adapter
@@ -57,23 +60,23 @@
         self.heard_at_ms = 0
         self.orphaned_at_ms = 0
         self.kept_bytes = 0
-        self._drained = anyio.Event()
+        self._backlog_changed = anyio.Event()
 
     def attach(self, reader: ReaderId, next_number: int) -> bool:
-        """Adds a reader; False if the chunks it lacks are gone."""
+        """Adds a reader; returns False if chunks it lacks were dropped."""
         attached = self.run.attach(reader, next_number)
-        self._drained.set()
+        self._backlog_changed.set()
         return attached
 
     def detach(self, reader: ReaderId) -> None:
         """Removes a reader."""
         self.run.detach(reader)
         self.heads_sent.discard(reader)
-        self._drained.set()
+        self._backlog_changed.set()
 
-    def refuse(self, failure: result.Failure, load: load_lib.Load) -> None:
-        """Answers all readers with a failure and removes them."""
-        refusal = refusal_of(failure, load)
+    def reject(self, failure: result.Failure, load: load_lib.Load) -> None:
+        """Sends all readers a failure and removes them."""
+        refusal = refusal_frame(failure, load)
         for reader in list(self.run.readers):
             reader.writer.write(frame.encode(reader.stream, refusal))
             self.detach(reader)
@@ -106,23 +109,23 @@
     def ack(self, reader: ReaderId, acked: int, load: load_lib.Load) -> None:
         """Handles a reader's acknowledgement and sends it more."""
         self.run.ack(reader, acked)
-        self._drained.set()
+        self._backlog_changed.set()
         if reader in self.run.readers:
             self._flush_one(reader, load)
 
     @property
-    def behind(self) -> bool:
+    def is_backlogged(self) -> bool:
         """Whether the slowest reader is two windows behind."""
         return self.run.backlog_chunks() >= 2 * WINDOW_CHUNKS
 
-    async def wait_for_room(self) -> None:
+    async def wait_for_readers(self) -> None:
         """Waits while the slowest reader is two windows behind.
 
-        The target is then not read either, so what one slow caller can hold
-        in memory is bounded, and other streams go on.
+        The target is not read meanwhile, which bounds the memory that a slow
+        caller takes up and leaves other streams unaffected.
         """
-        while self.behind:
+        while self.is_backlogged:
             if self.run.keep_bytes and not self.run.readers:
                 return
-            self._drained = anyio.Event()
-            await self._drained.wait()
+            self._backlog_changed = anyio.Event()
+            await self._backlog_changed.wait()
--- a/tests/fleet/test_forwarding_path.py
+++ b/tests/fleet/test_forwarding_path.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway: what callers get, and what targets ran."""
+"""Requests through a gateway: what callers receive, and what targets run."""
 
 import collections
 
@@ -11,7 +11,7 @@
 Fault = platform_engine.Fault
 
 
-def _runs(fleet: fixtures.Fleet) -> collections.Counter[str]:
+def _run_counts(fleet: fixtures.Fleet) -> collections.Counter[str]:
     return collections.Counter(
         attempt for target in fleet.targets.values() for attempt in target.ran
     )
@@ -24,8 +24,8 @@
     )
 
 
-def test_a_stream_of_a_cold_adapter_is_loaded_and_whole() -> None:
-    """The adapter is nowhere resident; its home loads it, the caller waits."""
+def test_stream_waits_until_its_adapter_is_loaded() -> None:
+    """No engine holds the adapter: one loads it while the caller waits."""
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
@@ -41,11 +41,11 @@
     fixtures.run(play)
 
 
-def test_a_call_that_must_not_run_twice_is_not_sent_again() -> None:
-    """Symptom: a booking stands twice in the books.
+def test_non_repeatable_request_is_not_retried_after_a_reset() -> None:
+    """A non-repeatable request, such as a booking, runs at most once.
 
-    Sequence: the target runs it and loses the answer. Cause: a proxy that
-    takes a reset for "not run" sends it to another target.
+    The target runs it and resets the connection. A proxy that treats the reset
+    as proof that nothing ran sends it to another target, and it runs twice.
     """
 
     async def play() -> None:
@@ -54,13 +54,13 @@
                 target.fault = lambda seen: Fault.RESET_AFTER_RUN
             answer = await fleet.call("/book/1", attempt="0b")
             assert answer.status == 502, answer
-            assert _runs(fleet)["0b"] == 1
+            assert _run_counts(fleet)["0b"] == 1
 
     fixtures.run(play)
 
 
-def test_a_call_that_may_run_twice_is_sent_elsewhere() -> None:
-    """The first target loses its answer; the second one's is passed on."""
+def test_repeatable_request_is_retried_on_another_target() -> None:
+    """The first target resets the connection, the second one responds."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -76,16 +76,16 @@
                 target.fault = lose_first
             answer = await fleet.call("/look/1", method="GET", attempt="0c")
             assert answer.status == 200, answer
-            assert _runs(fleet)["0c"] == 2
+            assert _run_counts(fleet)["0c"] == 2
 
     fixtures.run(play)
 
 
-def test_a_promise_without_proof_is_not_passed_on() -> None:
-    """Symptom: a caller repeats a booking that has run.
+def test_unproven_503_is_not_forwarded() -> None:
+    """A 503 without proof that the request did not run becomes a 502.
 
-    Sequence: a target runs it and answers 503 without saying that it did not
-    run. Cause: passed on, the status is a promise that nothing ran.
+    Callers treat a 503 as a promise that nothing ran. Forwarded from a target
+    that ran the request, it makes a caller repeat a booking.
     """
 
     async def play() -> None:
@@ -99,8 +99,8 @@
     fixtures.run(play)
 
 
-def test_a_refusal_with_proof_says_when_to_come_back() -> None:
-    """A full target proved that nothing ran; the caller is told at once."""
+def test_proven_rejection_carries_retry_after() -> None:
+    """A full target proves that nothing ran; the caller may retry soon."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -109,16 +109,17 @@
             answer = await fleet.call("/book/1", attempt="0e")
             assert answer.status == 503, answer
             assert float(answer.headers["retry-after"]) > 0
-            assert _runs(fleet)["0e"] == 0
+            assert _run_counts(fleet)["0e"] == 0
 
     fixtures.run(play)
 
 
-def test_a_cut_stream_that_may_go_on_is_whole_for_its_caller() -> None:
-    """Symptom: a summary stops in mid sentence, or repeats a piece.
+def test_interrupted_resumable_stream_is_completed() -> None:
+    """A stream that one target interrupts is continued by another one.
 
-    Sequence: the target breaks off in the middle of an event. Cause: half an
-    event was passed on, or the second target began anew.
+    The target closes the connection in the middle of an event. The caller's
+    text has a gap or a repetition if the incomplete event is forwarded, or if
+    the second target starts from the beginning.
     """
 
     async def play() -> None:
@@ -140,10 +141,10 @@
     fixtures.run(play)
 
 
-def test_a_cut_stream_that_may_not_go_on_looks_cut() -> None:
-    """Symptom: a caller files half a draft as the whole one.
+def test_interrupted_non_resumable_stream_is_aborted() -> None:
+    """A stream that cannot be resumed is aborted, not ended normally.
 
-    Sequence: the target breaks off. Cause: the gateway ended the answer.
+    Ended normally by the gateway, half a draft looks complete to its caller.
     """
 
     async def play() -> None:
@@ -159,12 +160,12 @@
     fixtures.run(play)
 
 
-def test_a_late_second_answer_goes_to_nobody() -> None:
-    """Symptom: a caller gets the answer to another's request.
+def test_duplicate_response_is_discarded() -> None:
+    """A caller never receives the response to another request.
 
-    Sequence: a target answers a request twice; the second answer arrives on
-    the kept connection as the next request is sent on it. Cause: the next
-    answer on a connection was taken for the answer to the last request.
+    A target responds to a request twice. The second response arrives on the
+    reused connection while the next request is sent on it, and must not be
+    taken for the response to that request.
     """
 
     async def play() -> None:
@@ -180,8 +181,8 @@
     fixtures.run(play)
 
 
-def test_an_answer_without_length_ends_with_its_connection() -> None:
-    """It is whole when the target closes in order."""
+def test_response_without_length_ends_when_the_connection_closes() -> None:
+    """The response is complete when the target closes without an error."""
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
@@ -194,10 +195,11 @@
     fixtures.run(play)
 
 
-def test_callers_do_not_set_what_is_ours_to_set() -> None:
-    """Symptom: a caller jumps the queue, or reads another's memory.
+def test_engine_control_headers_of_callers_are_dropped() -> None:
+    """Headers that control an engine are not forwarded from callers.
 
-    Cause: headers that steer an engine were passed on as they came.
+    With them, a caller could raise its priority in the engine's queue or read
+    the memory of another request.
     """
 
     async def play() -> None:
@@ -222,8 +224,8 @@
     fixtures.run(play)
 
 
-def test_an_unknown_route_and_a_large_body_are_refused() -> None:
-    """Both get an answer of ours, and nothing reaches a target."""
+def test_unknown_route_and_large_body_are_rejected() -> None:
+    """The gateway responds to both itself, and nothing reaches a target."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
@@ -231,13 +233,13 @@
             assert answer.status == result.ROUTE_UNKNOWN.status
             large = await fleet.call("/book/1", body=b"x" * 70_000)
             assert large.status == result.BODY_TOO_LARGE.status
-            assert not _runs(fleet)
+            assert not _run_counts(fleet)
 
     fixtures.run(play)
 
 
-def test_a_caller_that_leaves_frees_its_target() -> None:
-    """The connection to the target is closed, so that its work stops."""
+def test_caller_disconnect_stops_the_work_at_the_target() -> None:
+    """The gateway closes the connection to the target, whose work stops."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -256,12 +258,12 @@
     fixtures.run(play)
 
 
-def test_a_stream_that_pauses_is_not_broken_off_in_vain() -> None:
-    """Symptom: a summary stops in the middle although its target goes on.
+def test_stalled_stream_is_kept_if_no_other_target_can_resume_it() -> None:
+    """A stalled stream stays at its target if no other one can resume it.
 
-    Sequence: the target pauses for longer than is on time; no other target
-    holds the adapter, nor can load it. Cause: the silent target was left
-    before it was known that the stream could go on anywhere.
+    The target pauses for longer than the gap objective; no other target holds
+    the adapter or can load it. Without a check that another target can resume
+    the stream, the gateway abandons the target and the stream is lost.
     """
 
     async def play() -> None:
@@ -282,15 +284,15 @@
             answer = await fleet.call("/long/x", adapter="a1", attempt="30")
             assert answer.whole, answer
             assert answer.body == _expected_stream("30")
-            assert _runs(fleet)["30"] == 1
+            assert _run_counts(fleet)["30"] == 1
 
     fixtures.run(play)
 
 
-async def _slow_holder_and_full_neighbour(
+async def _one_slow_and_one_full_engine(
     fleet: fixtures.Fleet, event_ms: float
 ) -> platform_engine.PlatformEngine:
-    """Has both engines hold an adapter; one pauses, the other is full."""
+    """Makes both engines hold an adapter; one pauses, the other is full."""
     await fleet.call("/long/x", adapter="a1")
     (holder,) = (one for one in fleet.targets.values() if one.adapters)
     (other,) = (
@@ -300,7 +302,7 @@
     other.fault = lambda seen: Fault.SHED
     for member in fleet.gateway.roster.members.values():
         if member.listing.instance == other.instance:
-            # The first send goes to the one that pauses.
+            # The first send goes to the engine that pauses.
             member.health.failure_share = 0.3
     views = fleet.gateway.placement.views
     await fleet.until(
@@ -321,18 +323,18 @@
     return holder
 
 
-def test_a_stream_on_a_slow_engine_is_not_cut_for_a_full_neighbour() -> None:
-    """Symptom: a draining gateway cuts a summary that its engine goes on with.
+def test_slow_stream_is_not_aborted_when_the_other_engine_is_full() -> None:
+    """A draining gateway keeps a stream whose engine pauses repeatedly.
 
-    Sequence: the engine reads prompts between tokens and pauses for longer
-    than the objective again and again; the gateway leaves the run for another
-    holder, which is full and refuses it. Cause: a pause was taken for a run
-    that has ended, and the refusal at the other holder for the end of all.
+    The engine processes prompts between tokens, so its pauses exceed the
+    objective. If the gateway takes a pause for a failed run, it sends the
+    request to the other engine that holds the adapter. That one is full, and
+    its rejection must not abort the stream.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
-            await _slow_holder_and_full_neighbour(fleet, event_ms=450.0)
+            await _one_slow_and_one_full_engine(fleet, event_ms=450.0)
             answers = []
 
             async def call() -> None:
@@ -353,17 +355,18 @@
     fixtures.run(play)
 
 
-def test_a_begun_stream_returns_from_a_full_neighbour() -> None:
-    """Symptom: a summary is cut although its first engine would go on.
+def test_interrupted_stream_is_resumed_after_a_rejection() -> None:
+    """An interrupted stream is resumed although one engine rejects it.
 
-    Sequence: the engine ends in the middle of the run; the other holder is
-    full for a moment and refuses. Cause: a refusal, which proves
-    that nothing ran, was the end of a stream with most of its time left.
+    The engine fails in the middle of the run; the other engine that holds
+    the adapter is full for a moment and rejects the request. The rejection
+    proves that nothing ran there, and most of the stream's time is left: it
+    must not abort a stream that the first engine can resume.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet() as fleet:
-            holder = await _slow_holder_and_full_neighbour(fleet, event_ms=5.0)
+            holder = await _one_slow_and_one_full_engine(fleet, event_ms=5.0)
             shed = []
             (other,) = (
                 one
@@ -384,11 +387,12 @@
     fixtures.run(play)
 
 
-def test_not_run_is_not_said_of_a_send_whose_answer_was_lost() -> None:
-    """Symptom: a caller is told that a summary was not run, and it was.
+def test_lost_response_is_not_reported_as_not_executed() -> None:
+    """The outcome is unknown after a lost response and a failed retry.
 
-    Sequence: an engine runs it and loses the answer; no other engine can load
-    the adapter. Cause: the refusal to place it again spoke for both sends.
+    An engine runs the request and resets the connection; no other engine can
+    load the adapter. That the retry was not sent does not prove that the first
+    send did not run.
     """
 
     async def play() -> None:
@@ -400,7 +404,7 @@
                     target.swallow_orders = 1_000_000
             holder.fault = lambda seen: Fault.RESET_AFTER_RUN
             answer = await fleet.call("/long/x", adapter="a1", attempt="31")
-            assert _runs(fleet)["31"] == 1
+            assert _run_counts(fleet)["31"] == 1
             assert answer.status == result.OUTCOME_UNKNOWN.status, answer
             assert b'"executed": "unknown"' in answer.body
 
