--- a/bench/control.py
+++ b/bench/control.py
@@ -241,7 +241,9 @@
             while True:
                 await anyio.sleep(source.expovariate(REQUESTS_PER_S))
                 rank = min(adapters, int(source.paretovariate(0.2))) - 1
-                asked = resolve.Asked("", f"adapter-{rank}", "", "", "", {})
+                asked = resolve.RoutingFields(
+                    "", f"adapter-{rank}", "", "", "", {}
+                )
                 held = configuration.held
                 await entry.rank(resolve.resolve(asked, held), held)
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -74,7 +74,7 @@
 def _leave(run: decisions.Run, names: tuple[str, ...]) -> None:
     def leave() -> None:
         for name in names:
-            run.site.targets[name].feed(event_lib.LeavingLearned())
+            run.site.targets[name].feed(event_lib.DrainRequested())
 
     def replace() -> None:
         for name in names:
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -312,7 +312,7 @@
 @dataclasses.dataclass(slots=True)
 class _Waiter:
     caller: Caller
-    waiting: waiting_lib.Waiting
+    waiting: waiting_lib.AdapterWait
     due_at_ms: int
     turn: int = 0
     home: roster_lib.Member | None = None
@@ -418,7 +418,7 @@
         # A gateway knows nothing of the attempt before.
         answer_ms = self.roster.usual_latency_ms(SERVICE)
         due_at_ms = round(now_ms + caller.arrival.kind.objective_ms - answer_ms)
-        waiting = waiting_lib.Waiting(
+        waiting = waiting_lib.AdapterWait(
             caller.arrival.adapter,
             began_ms=now_ms,
             left_ms=round(caller.deadline_ms) - now_ms,
--- a/bench/shipped.py
+++ b/bench/shipped.py
@@ -65,7 +65,9 @@
         if self.machine.residency.incarnation != str(self.incarnation):
             resident = frozenset()
         self.feed(
-            event_lib.EngineSeen(str(self.incarnation), resident, self.now_ms)
+            event_lib.EngineObserved(
+                str(self.incarnation), resident, self.now_ms
+            )
         )
 
     def restart_engine(self) -> None:
@@ -99,7 +101,7 @@
                         attempt.service, self.world.clock.now_ms - since_ms
                     )
                 self.run(attempt)
-            case event_lib.Refuse(attempt_id=attempt_id, failure=failure):
+            case event_lib.Reject(attempt_id=attempt_id, failure=failure):
                 waited = self.waiting.pop(attempt_id, None)
                 if waited is not None and waited[1]:
                     self.world.on_wasted(
@@ -217,7 +219,7 @@
             for name, engine in engines.items()
         }
         for target in self.targets.values():
-            target.feed(event_lib.VersionHeld(held))
+            target.feed(event_lib.VersionActivated(held))
         self.clock.after(TICK_MS, self._tick)
 
     def _tick(self) -> None:
@@ -241,7 +243,7 @@
         """Takes a caller's request at one of the entries."""
         request = Request(arrival, first, done)
         request.entry = next(self.turns)
-        asked = resolve.Asked("", arrival.adapter, "", "", "", {})
+        asked = resolve.RoutingFields("", arrival.adapter, "", "", "", {})
         resolution = resolve.resolve(asked, self.held)
         if isinstance(resolution, result.Failure):
             raise ValueError(resolution)
@@ -317,7 +319,7 @@
             match action:
                 case exchange_lib.Send(target=name):
                     self._send(request, name)
-                case exchange_lib.Reply():
+                case exchange_lib.ReplyFailure():
                     request.done(False)
                 case exchange_lib.Finish():
                     request.done(True)
@@ -361,7 +363,7 @@
         self.refusals[key] = self.refusals.get(key, 0) + 1
         now_ms = int(self.clock.now_ms)
         self.routers[request.entry].observe(name, "", load, now_ms)
-        event = exchange_lib.Refused(failure)
+        event = exchange_lib.Rejected(failure)
         self.clock.after(
             HOP_MS,
             lambda: self._act(request, request.exchange.handle(event, now_ms)),
@@ -372,7 +374,7 @@
         request = self.requests[attempt.attempt_id]
         router = self.routers[request.entry]
         self._observe(router, name, attempt.adapter)
-        event = exchange_lib.Started(200, "", attempt.adapter)
+        event = exchange_lib.ResponseStarted(200, "", attempt.adapter)
         request.exchange.handle(event, int(self.clock.now_ms))
         request.first()
 
--- a/packages/radishd/src/radishd/connection/listener.py
+++ b/packages/radishd/src/radishd/connection/listener.py
@@ -195,7 +195,7 @@
     seal_id = next(_seal_ids)
     connection.process.seals[seal_id] = (connection.writer, stream)
     connection.process.handle(
-        event_lib.SealAsked((body.service, body.key), body.asker, seal_id)
+        event_lib.SealRequested((body.service, body.key), body.asker, seal_id)
     )
     return None
 
--- a/packages/radishd/src/radishd/request/caller.py
+++ b/packages/radishd/src/radishd/request/caller.py
@@ -122,10 +122,10 @@
         now_ms = clock.now_ms()
         match item:
             case frame.Chunk(number=number, payload=payload):
-                event = exchange_lib.Arrived(number, payload)
+                event = exchange_lib.ChunkArrived(number, payload)
             case frame.Accepted():
                 self._observe(item.load, now_ms)
-                event = exchange_lib.Started(
+                event = exchange_lib.ResponseStarted(
                     item.status, item.content_type, item.adapter
                 )
             case frame.End():
@@ -135,11 +135,11 @@
                 return
             case result.Failure():
                 self.entry.router.failed(self.target, now_ms)
-                event = exchange_lib.Lost()
+                event = exchange_lib.ConnectionLost()
             case Deadline():
-                event = exchange_lib.Expired()
+                event = exchange_lib.DeadlineExpired()
             case Left():
-                event = exchange_lib.CallerLeft()
+                event = exchange_lib.CallerDisconnected()
             case _:
                 return
         await self._perform_all(self.exchange.handle(event, now_ms))
@@ -150,7 +150,7 @@
         if failure.code is result.RUN_UNKNOWN:
             actions = exchange_lib.resume_failed(self.exchange, now_ms)
         else:
-            event = exchange_lib.Refused(failure)
+            event = exchange_lib.Rejected(failure)
             actions = self.exchange.handle(event, now_ms)
         await self._perform_all(actions)
 
@@ -276,7 +276,7 @@
     failure = await caller.open_stream(action.target)
     now_ms = clock.now_ms()
     if failure is not None:
-        actions = caller.exchange.handle(exchange_lib.Unsent(), now_ms)
+        actions = caller.exchange.handle(exchange_lib.ConnectFailed(), now_ms)
         await caller._perform_all(actions)
         return
     caller.entry.router.sent(action.target, caller.resolution.adapter, now_ms)
@@ -348,7 +348,7 @@
 
 
 @_perform.register
-async def _forward(action: exchange_lib.Forward, caller: Caller) -> None:
+async def _forward(action: exchange_lib.ForwardChunk, caller: Caller) -> None:
     await caller.send(
         {
             "type": "http.response.body",
@@ -368,7 +368,7 @@
 
 
 @_perform.register
-async def _reply(action: exchange_lib.Reply, caller: Caller) -> None:
+async def _reply(action: exchange_lib.ReplyFailure, caller: Caller) -> None:
     await caller.reply(action.failure)
 
 
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -23,7 +23,7 @@
 from radishstack.request import event_stream
 from radishstack.request import fingerprint as fingerprint_lib
 from radishstack.request import forwarding
-from radishstack.request import silence
+from radishstack.request import stall_timeout
 from radishstack.request import waiting as waiting_lib
 
 from radishd.connection import http_client
@@ -173,7 +173,7 @@
                 result.ROUTE_TIMEOUT, "the stream had not ended in time"
             )
             raise CutError
-        await self.reply(self.state.timed_out(sent=self.sent))
+        await self.reply(self.state.timeout_failure(sent=self.sent))
 
     async def _serve(self) -> None:
         while True:
@@ -212,7 +212,7 @@
             gateway.evidence.record_aborted_response(
                 member, self.fingerprint(), self.sent_at_ms
             )
-        paid = True
+        retry_allowed = True
         if outcome is not Outcome.UNSENT:
             retries = not self.state.may_have_run and outcome in (
                 Outcome.SHED,
@@ -220,14 +220,14 @@
                 Outcome.GONE,
             )
             worth_paying = self.route.repeatable or retries
-            paid = worth_paying and gateway.budget(self.service).spend(
+            retry_allowed = worth_paying and gateway.budget(self.service).spend(
                 clock.boot_ms()
             )
         return self.state.ended(
             member.listing.instance,
             outcome,
             self.left_ms(),
-            paid=paid,
+            retry_allowed=retry_allowed,
             begun=self.began,
         )
 
@@ -331,7 +331,7 @@
         gateway = self.gateway
         adapter = self.request.adapter
         due_at_ms = self._due_at_ms()
-        waiting = waiting_lib.Waiting(
+        waiting = waiting_lib.AdapterWait(
             adapter,
             began_ms=clock.boot_ms(),
             left_ms=self.left_ms(),
@@ -347,7 +347,7 @@
                     return refusal
                 now_ms = clock.boot_ms()
                 if gateway.draining:
-                    waiting.end_by(gateway.waits_end_at_ms)
+                    waiting.limit_until(gateway.waits_end_at_ms)
                 usable = self._usable(now_ms)
                 choice = gateway.placement.choose(
                     adapter, usable, now_ms, waiting.patience(now_ms)
@@ -461,7 +461,7 @@
             result.DEADLINE_GREW,
             f"{left_ms} of {self.request.left_ms} ms",
         )
-        self.state.sending(listing.instance)
+        self.state.record_send(listing.instance)
         priority = None
         if self.needs_adapter:
             priority = min(PRIORITY_MAX, self.admission.priority + 1)
@@ -566,7 +566,7 @@
             movable = movable and self._has_holder(send.member)
         if not movable:
             return self.route.timeout_ms + MS_PER_S
-        silence_ms = silence.allowed_ms(
+        silence_ms = stall_timeout.allowed_ms(
             self.route,
             send.member.health,
             begun=self.began,
@@ -607,7 +607,7 @@
             and not self.began
             and self.state.may_use_another
             and self.state.sends < forwarding.MAX_SENDS
-            and self.left_ms() > forwarding.MIN_LEFT_MS
+            and self.left_ms() > forwarding.MIN_REMAINING_MS
             and self.gateway.has_other(self.service, send.member)
         )
         if may_retry and self.gateway.budget(self.service).can_spend(
--- a/packages/radishd/src/radishd/request/intake.py
+++ b/packages/radishd/src/radishd/request/intake.py
@@ -32,7 +32,7 @@
         streams: Whether the caller wants a stream of events.
     """
 
-    asked: resolve.Asked
+    asked: resolve.RoutingFields
     method: str
     path: str
     content_type: str
@@ -153,7 +153,7 @@
         fields = parsed
         model = fields["model"]
         streams = fields.get("stream", False) is True
-    asked = resolve.Asked(
+    asked = resolve.RoutingFields(
         request_id=request_id,
         model=model,
         service=service,
--- a/packages/radishd/src/radishd/request/serving.py
+++ b/packages/radishd/src/radishd/request/serving.py
@@ -91,7 +91,7 @@
                 run.status, run.content_type, load, self.adapter
             )
             write(frame.encode(reader.stream, accepted))
-        for number, payload in run.unsent(reader, WINDOW_CHUNKS):
+        for number, payload in run.next_chunks(reader, WINDOW_CHUNKS):
             write(frame.encode_chunk(reader.stream, number, payload))
         if run.end_is_due(reader):
             failure = run.ended.failure
@@ -101,7 +101,7 @@
                 message=failure.message if failure else "",
             )
             write(frame.encode(reader.stream, end))
-            run.mark_ended(reader)
+            run.mark_end_sent(reader)
 
     def ack(self, reader: ReaderId, acked: int, load: load_lib.Load) -> None:
         """Handles a reader's acknowledgement and sends it more."""
--- a/packages/radishd/src/radishd/request/target_actions.py
+++ b/packages/radishd/src/radishd/request/target_actions.py
@@ -41,9 +41,9 @@
     process.tasks.start_soon(process.run_attempt, action.attempt, serving)
 
 
-@perform.register(event_lib.Refuse)
+@perform.register(event_lib.Reject)
 def _refuse(
-    action: event_lib.Refuse, process: target_lib.TargetProcess
+    action: event_lib.Reject, process: target_lib.TargetProcess
 ) -> None:
     process.metrics.refusals.inc({"code": str(action.failure.code.number)})
     serving = process.servings.get(action.attempt_id)
@@ -74,9 +74,9 @@
     owner.flush(process.load())
 
 
-@perform.register(event_lib.AskPriors)
+@perform.register(event_lib.AskPriorHomes)
 def _ask_priors(
-    action: event_lib.AskPriors, process: target_lib.TargetProcess
+    action: event_lib.AskPriorHomes, process: target_lib.TargetProcess
 ) -> None:
     process.tasks.start_soon(process.ask_priors, action)
 
@@ -111,9 +111,9 @@
         serving.scope.cancel()
 
 
-@perform.register(event_lib.Forget)
+@perform.register(event_lib.DropAnswers)
 def _forget(
-    action: event_lib.Forget, process: target_lib.TargetProcess
+    action: event_lib.DropAnswers, process: target_lib.TargetProcess
 ) -> None:
     for attempt_id in action.attempt_ids:
         process.drop(attempt_id)
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -119,7 +119,7 @@
 
     def _version_raised(self, held: holder_lib.Held) -> None:
         self.links.version = held.version
-        self.handle(event_lib.VersionHeld(held))
+        self.handle(event_lib.VersionActivated(held))
 
     def handle(self, event: event_lib.Event) -> None:
         """Feeds an event to the decisions and performs what they say."""
@@ -282,7 +282,7 @@
             if other.kept_bytes and not other.run.readers:
                 self.kept_bytes -= other.kept_bytes
                 other.kept_bytes = 0
-                other.run.forget_chunks()
+                other.run.drop_chunks()
 
     async def _pump(
         self, attempt: attempt_lib.Attempt, serving: serving_lib.Serving
@@ -292,7 +292,7 @@
         )
 
         def report(adapter: str) -> bool:
-            self.handle(event_lib.Reported(attempt.attempt_id, adapter))
+            self.handle(event_lib.AdapterReported(attempt.attempt_id, adapter))
             return serving.failure is None
 
         parts = engine_call.call(
@@ -393,7 +393,7 @@
                 return entry.source
         return ""
 
-    async def ask_priors(self, action: event_lib.AskPriors) -> None:
+    async def ask_priors(self, action: event_lib.AskPriorHomes) -> None:
         """Asks former homes about a key and reports their worst answer."""
         answers: list[ledger_lib.Sealing] = []
 
@@ -408,7 +408,7 @@
             worst = ledger_lib.Sealing.RAN
         elif ledger_lib.Sealing.UNKNOWN in answers:
             worst = ledger_lib.Sealing.UNKNOWN
-        self.handle(event_lib.PriorsAnswered(action.attempt_id, worst))
+        self.handle(event_lib.PriorHomesAnswered(action.attempt_id, worst))
 
     async def _ask_prior(
         self, name: str, key: ledger_lib.Key
@@ -449,7 +449,7 @@
                     # checks fencing numbers refuses it from now on.
                     await self.engine.raise_fence(self.machine.residency.order)
                 self.handle(
-                    event_lib.EngineSeen(
+                    event_lib.EngineObserved(
                         seen.incarnation, seen.resident, asked_at_ms
                     )
                 )
@@ -494,7 +494,7 @@
     def leaving_heard(self, names: frozenset[str]) -> None:
         """Learns from a peer who leaves."""
         if self.settings.name in names:
-            self.handle(event_lib.LeavingLearned())
+            self.handle(event_lib.DrainRequested())
 
     async def watch_vms(self) -> None:
         """Learns from the platform's list that this VM leaves.
@@ -563,7 +563,7 @@
         Returns:
             How many runs were cut at the limit.
         """
-        self.handle(event_lib.LeavingLearned())
+        self.handle(event_lib.DrainRequested())
         with anyio.move_on_after(self.own.drain_ms / MS_PER_S):
             while not self.machine.idle or self._unread():
                 await anyio.sleep(TICK_MS / MS_PER_S)
--- a/packages/radishstack/src/radishstack/request/event_stream.py
+++ b/packages/radishstack/src/radishstack/request/event_stream.py
@@ -35,7 +35,7 @@
             were returned before.
         """
         self._pending += data
-        passed = []
+        new_events = []
         while True:
             size_bytes = _event_end(self._pending)
             if size_bytes == 0:
@@ -43,8 +43,8 @@
             event = self._pending[:size_bytes]
             self._pending = self._pending[size_bytes:]
             if self._is_new(event):
-                passed.append(event)
-        return b"".join(passed)
+                new_events.append(event)
+        return b"".join(new_events)
 
     def rest(self) -> bytes:
         """Returns what is left after the last event of a whole response."""
@@ -66,9 +66,9 @@
 
 def _event_end(data: bytes) -> int:
     ends = [
-        position + len(mark)
-        for mark in (b"\n\n", b"\r\n\r\n")
-        if (position := data.find(mark)) >= 0
+        position + len(separator)
+        for separator in (b"\n\n", b"\r\n\r\n")
+        if (position := data.find(separator)) >= 0
     ]
     return min(ends, default=0)
 
--- a/packages/radishstack/src/radishstack/request/exchange.py
+++ b/packages/radishstack/src/radishstack/request/exchange.py
@@ -16,29 +16,29 @@
 
 MAX_TRIES = 4
 MAX_RESUMES = 8
-RETRY_SOON_MS = 500
-MIN_LEFT_MS = 5
+DEFAULT_RETRY_AFTER_MS = 500
+MIN_REMAINING_MS = 5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """The target process refused the attempt."""
 
     failure: result.Failure
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unsent:
+class ConnectFailed:
     """No connection to the target process could be opened."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class ConnectionLost:
     """The connection was cut after the attempt was sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Started:
+class ResponseStarted:
     """The target answered; its chunks follow."""
 
     status: int
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrived:
+class ChunkArrived:
     """A chunk has come."""
 
     number: int
@@ -63,24 +63,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Expired:
+class DeadlineExpired:
     """The caller's deadline has passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller has closed its connection."""
 
 
 Event = (
-    Refused
-    | Unsent
-    | Lost
-    | Started
-    | Arrived
+    Rejected
+    | ConnectFailed
+    | ConnectionLost
+    | ResponseStarted
+    | ChunkArrived
     | EndArrived
-    | Expired
-    | CallerLeft
+    | DeadlineExpired
+    | CallerDisconnected
 )
 
 
@@ -122,7 +122,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forward:
+class ForwardChunk:
     """Send the caller a piece of the answer."""
 
     payload: bytes
@@ -134,7 +134,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
+class ReplyFailure:
     """Answer the caller with a failure; in mid-answer, end it as cut."""
 
     failure: result.Failure
@@ -150,9 +150,9 @@
     | Resume
     | Rehome
     | ForwardHead
-    | Forward
+    | ForwardChunk
     | Finish
-    | Reply
+    | ReplyFailure
     | CancelAttempt
 )
 Actions = list[Action]
@@ -231,7 +231,7 @@
                 or result.Failure(
                     result.NO_TARGET,
                     f"no target of {self.resolution.service.name} is usable",
-                    RETRY_SOON_MS,
+                    DEFAULT_RETRY_AFTER_MS,
                 )
             )
         self.target = self.untried.pop(0)
@@ -244,14 +244,14 @@
         self.last_failure = failure
         if not self.untried or self.tries >= MAX_TRIES:
             return self._reply(failure)
-        if now_ms + MIN_LEFT_MS >= self.deadline_at_ms:
+        if now_ms + MIN_REMAINING_MS >= self.deadline_at_ms:
             return self._reply(failure)
         if not self.budget.spend():
             return self._reply(
                 result.Failure(
                     result.RETRIES_EXHAUSTED,
                     f"{failure.message}; this entry has no retries left",
-                    failure.retry_after_ms or RETRY_SOON_MS,
+                    failure.retry_after_ms or DEFAULT_RETRY_AFTER_MS,
                     failure.proof,
                 )
             )
@@ -265,9 +265,9 @@
             failure = dataclasses.replace(
                 failure, proof=result.Executed.UNKNOWN
             )
-        return [Reply(failure)]
+        return [ReplyFailure(failure)]
 
-    def unproven(self, failure: result.Failure) -> result.Failure:
+    def as_unproven(self, failure: result.Failure) -> result.Failure:
         """Marks a failure of the entry's own making.
 
         Only the ledger of its home can say that a key did not run; an
@@ -284,31 +284,33 @@
 
 
 @_handle.register
-def _refused(event: Refused, exchange: Exchange, now_ms: int) -> Actions:
+def _rejected(event: Rejected, exchange: Exchange, now_ms: int) -> Actions:
     failure = event.failure
     if exchange.head_sent:
-        return exchange._reply(_cut(failure.message))
+        return exchange._reply(_answer_cut(failure.message))
     if exchange.keyed:
         if failure.code is result.NOT_HOME and exchange.rehomes == 0:
             exchange.rehomes += 1
             exchange.last_failure = failure
             return [Rehome()]
         return exchange._reply(failure)
-    if failure.code.elsewhere and failure.executed is result.Executed.NO:
+    if failure.code.retry_elsewhere and failure.executed is result.Executed.NO:
         return exchange._retry(failure, now_ms)
     return exchange._reply(failure)
 
 
 @_handle.register
-def _unsent(event: Unsent, exchange: Exchange, now_ms: int) -> Actions:
+def _connect_failed(
+    event: ConnectFailed, exchange: Exchange, now_ms: int
+) -> Actions:
     del event
-    failure = exchange.unproven(
+    failure = exchange.as_unproven(
         result.Failure(
             result.HOME_UNREACHABLE
             if exchange.keyed
             else result.TARGET_UNREACHABLE,
             f"{exchange.target} cannot be reached",
-            RETRY_SOON_MS,
+            DEFAULT_RETRY_AFTER_MS,
         )
     )
     if exchange.keyed:
@@ -317,7 +319,9 @@
 
 
 @_handle.register
-def _lost(event: Lost, exchange: Exchange, now_ms: int) -> Actions:
+def _connection_lost(
+    event: ConnectionLost, exchange: Exchange, now_ms: int
+) -> Actions:
     del event
     exchange.resumes += 1
     if exchange.resumes <= MAX_RESUMES and now_ms < exchange.deadline_at_ms:
@@ -339,12 +343,12 @@
     if exchange.done:
         return []
     if exchange.head_sent:
-        return exchange._reply(_cut(f"{exchange.target} was lost"))
+        return exchange._reply(_answer_cut(f"{exchange.target} was lost"))
     failure = result.Failure(
         result.OUTCOME_UNKNOWN,
         f"{exchange.target} was lost while it had the request; whether it ran "
         "is not known",
-        RETRY_SOON_MS,
+        DEFAULT_RETRY_AFTER_MS,
     )
     if exchange.keyed:
         return exchange._reply(failure)
@@ -352,22 +356,26 @@
     return exchange._retry(failure, now_ms)
 
 
-def _cut(reason: str) -> result.Failure:
+def _answer_cut(reason: str) -> result.Failure:
     return result.Failure(
-        result.ANSWER_CUT, f"the answer was cut: {reason}", RETRY_SOON_MS
+        result.ANSWER_CUT,
+        f"the answer was cut: {reason}",
+        DEFAULT_RETRY_AFTER_MS,
     )
 
 
 @_handle.register
-def _started(event: Started, exchange: Exchange, now_ms: int) -> Actions:
+def _response_started(
+    event: ResponseStarted, exchange: Exchange, now_ms: int
+) -> Actions:
     del now_ms
     if exchange.head_sent:
         return []
-    wanted = exchange.resolution.adapter
-    if event.adapter != wanted and not exchange.keyed:
+    expected = exchange.resolution.adapter
+    if event.adapter != expected and not exchange.keyed:
         failure = result.Failure(
             result.WRONG_ADAPTER,
-            f"{exchange.target} ran {event.adapter!r} instead of {wanted!r}",
+            f"{exchange.target} ran {event.adapter!r} instead of {expected!r}",
         )
         return [CancelAttempt(), *exchange._reply(failure)]
     exchange.head_sent = True
@@ -379,21 +387,29 @@
 
 
 @_handle.register
-def _arrived(event: Arrived, exchange: Exchange, now_ms: int) -> Actions:
+def _chunk_arrived(
+    event: ChunkArrived, exchange: Exchange, now_ms: int
+) -> Actions:
     del now_ms
     if not exchange.head_sent:
-        return [CancelAttempt(), *exchange._reply(_cut("its head is missing"))]
+        return [
+            CancelAttempt(),
+            *exchange._reply(_answer_cut("its head is missing")),
+        ]
     match exchange.sequence.take(event.number):
         case sequence.Verdict.TAKE:
-            return [Forward(event.payload)]
+            return [ForwardChunk(event.payload)]
         case sequence.Verdict.SKIP:
             return []
-    return [CancelAttempt(), *exchange._reply(_cut("a chunk is missing"))]
+    return [
+        CancelAttempt(),
+        *exchange._reply(_answer_cut("a chunk is missing")),
+    ]
 
 
 @_handle.register
 def _end_arrived(event: EndArrived, exchange: Exchange, now_ms: int) -> Actions:
-    whole = exchange.sequence.end(event.total)
+    is_complete = exchange.sequence.end(event.total)
     if event.failure is not None:
         if not exchange.head_sent and not exchange.keyed:
             # Nothing of the answer went out, and running twice is allowed.
@@ -401,28 +417,34 @@
                 exchange.may_have_run = True
             return exchange._retry(event.failure, now_ms)
         return exchange._reply(event.failure)
-    if not whole or not exchange.head_sent:
-        return exchange._reply(_cut("a part of it is missing at its end"))
+    if not is_complete or not exchange.head_sent:
+        return exchange._reply(
+            _answer_cut("a part of it is missing at its end")
+        )
     exchange.done = True
     return [Finish()]
 
 
 @_handle.register
-def _expired(event: Expired, exchange: Exchange, now_ms: int) -> Actions:
+def _deadline_expired(
+    event: DeadlineExpired, exchange: Exchange, now_ms: int
+) -> Actions:
     del event, now_ms
     if exchange.head_sent:
-        failure = _cut("its deadline passed")
+        failure = _answer_cut("its deadline passed")
     else:
         failure = result.Failure(
             result.OUTCOME_UNKNOWN,
             "the deadline passed before the target answered",
-            RETRY_SOON_MS,
+            DEFAULT_RETRY_AFTER_MS,
         )
     return [CancelAttempt(), *exchange._reply(failure)]
 
 
 @_handle.register
-def _caller_left(event: CallerLeft, exchange: Exchange, now_ms: int) -> Actions:
+def _caller_disconnected(
+    event: CallerDisconnected, exchange: Exchange, now_ms: int
+) -> Actions:
     del event, now_ms
     exchange.done = True
     return [CancelAttempt()]
--- a/packages/radishstack/src/radishstack/request/forwarding.py
+++ b/packages/radishstack/src/radishstack/request/forwarding.py
@@ -13,11 +13,11 @@
 from radishstack.version import route_table
 
 # Sends that never reached a target; each costs one connect timeout at most.
-MAX_UNSENT = 3
+MAX_FAILED_CONNECTS = 3
 # Sends in all of one attempt, those with proof that nothing ran included.
 MAX_SENDS = 4
 # With less than this left, another send cannot be answered in time.
-MIN_LEFT_MS = 60
+MIN_REMAINING_MS = 60
 
 
 class Outcome(enum.Enum):
@@ -33,7 +33,7 @@
     FAILED = "failed"
 
 
-_UNPROVEN = frozenset(
+_MAY_HAVE_RUN = frozenset(
     {Outcome.LOST, Outcome.SPOILED, Outcome.SILENT, Outcome.FAILED}
 )
 _CODES = {
@@ -63,22 +63,22 @@
     Attributes:
         route: Its route.
         may_have_run: Whether a send may have run it.
-        unsent: Sends that never reached a target.
+        failed_connects: Sends that never reached a target.
         sends: Sends that reached one.
         reached: Instances that were sent to.
-        avoided: Instances not to be chosen again.
+        excluded: Instances not to be chosen again.
         failure: Why it is given up, if it is.
     """
 
     route: route_table.Route
     may_have_run: bool = False
-    unsent: int = 0
+    failed_connects: int = 0
     sends: int = 0
     reached: set[str] = dataclasses.field(default_factory=set)
-    avoided: set[str] = dataclasses.field(default_factory=set)
+    excluded: set[str] = dataclasses.field(default_factory=set)
     failure: result.Failure | None = None
 
-    def sending(self, instance: str) -> None:
+    def record_send(self, instance: str) -> None:
         """Notes a send, just before its first byte leaves."""
         invariant.require(
             self.allows(instance),
@@ -100,7 +100,7 @@
 
     def allows(self, instance: str) -> bool:
         """Whether it may be sent to a target next."""
-        if instance in self.avoided:
+        if instance in self.excluded:
             return False
         return self.may_use_another or instance in self.reached
 
@@ -110,7 +110,7 @@
         outcome: Outcome,
         left_ms: int,
         *,
-        paid: bool,
+        retry_allowed: bool,
         begun: bool = False,
     ) -> Step:
         """Decides what follows the end of a send.
@@ -119,44 +119,47 @@
             instance: Where it went.
             outcome: How it ended.
             left_ms: Time that the caller still has.
-            paid: Whether the retry budget allows another send.
+            retry_allowed: Whether the retry budget allows another send.
             begun: Whether the caller has a part of the answer.
 
         Returns:
             The next step; ``failure`` is set when it is to give up.
         """
         if outcome is Outcome.UNSENT:
-            self.unsent += 1
-            self.avoided.add(instance)
-            if self.unsent <= MAX_UNSENT and left_ms > MIN_LEFT_MS:
+            self.failed_connects += 1
+            self.excluded.add(instance)
+            if (
+                self.failed_connects <= MAX_FAILED_CONNECTS
+                and left_ms > MIN_REMAINING_MS
+            ):
                 return Step.SEND_AGAIN
-            return self._give_up(outcome)
+            return self._fail(outcome)
         if outcome is Outcome.GONE:
             # That start of the target is over, so the request is free to go
             # to another, as if this send had not been.
             self.reached.discard(instance)
-            self.avoided.add(instance)
-        if outcome in _UNPROVEN:
+            self.excluded.add(instance)
+        if outcome in _MAY_HAVE_RUN:
             self.may_have_run = True
         if self.may_have_run and not self.route.repeatable:
-            return self._give_up(outcome)
-        exhausted = self.sends >= MAX_SENDS or left_ms <= MIN_LEFT_MS
-        if exhausted or not paid:
-            return self._give_up(outcome)
+            return self._fail(outcome)
+        exhausted = self.sends >= MAX_SENDS or left_ms <= MIN_REMAINING_MS
+        if exhausted or not retry_allowed:
+            return self._fail(outcome)
         if self.may_use_another:
-            self.avoided.add(instance)
+            self.excluded.add(instance)
             return Step.SEND_AGAIN
         if begun:
             # There is no refusal any more: cut here, all that the caller has
             # is lost. A target that was reached before may go on with it
             # while this one is full or gone.
-            self.avoided = {instance} if len(self.reached) > 1 else set()
+            self.excluded = {instance} if len(self.reached) > 1 else set()
             return Step.SEND_LATER
         if outcome is Outcome.MISMATCH:
             return Step.SEND_AGAIN
-        return self._give_up(outcome)
+        return self._fail(outcome)
 
-    def _give_up(self, outcome: Outcome) -> Step:
+    def _fail(self, outcome: Outcome) -> Step:
         code = _CODES[outcome]
         if self.may_have_run and code.executed is result.Executed.NO:
             code = result.OUTCOME_UNKNOWN
@@ -165,7 +168,7 @@
         )
         return Step.GIVE_UP
 
-    def timed_out(self, *, sent: bool) -> result.Failure:
+    def timeout_failure(self, *, sent: bool) -> result.Failure:
         """Returns the failure of a request whose time is up."""
         if sent or self.may_have_run:
             return result.Failure(
--- a/packages/radishstack/src/radishstack/request/resolve.py
+++ b/packages/radishstack/src/radishstack/request/resolve.py
@@ -14,7 +14,7 @@
 
 MAX_KEY_CHARS = 256
 MAX_CANDIDATES = 48
-_SHARE_RANGE = 2**64
+_HASH_RANGE = 2**64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class RoutingFields:
     """What the caller sent, as far as it decides where the request goes.
 
     Attributes:
@@ -62,28 +62,30 @@
     headers: Mapping[str, str]
 
 
-def resolve(asked: Asked, held: holder_lib.Held) -> result.Outcome[Resolution]:
+def resolve(
+    fields: RoutingFields, held: holder_lib.Held
+) -> result.Outcome[Resolution]:
     """Resolves a request against one version.
 
     Args:
-        asked: What the caller sent.
+        fields: What the caller sent.
         held: The version, held until the request ends.
 
     Returns:
         The resolution, or the numbered reason why there is none.
     """
     document = held.document
-    if asked.service:
-        picked = _pick_plain(asked.service, document)
+    if fields.service:
+        selection = _select_plain(fields.service, document)
     else:
-        picked = _pick_model(asked, document)
-    if isinstance(picked, result.Failure):
-        return picked
-    service, adapter = picked
-    timeout_ms = _timeout(asked.timeout_text, service)
+        selection = _select_model(fields, document)
+    if isinstance(selection, result.Failure):
+        return selection
+    service, adapter = selection
+    timeout_ms = _parse_timeout(fields.timeout_text, service)
     if isinstance(timeout_ms, result.Failure):
         return timeout_ms
-    key = _key(asked.key, service)
+    key = _parse_key(fields.key, service)
     if isinstance(key, result.Failure):
         return key
     return Resolution(
@@ -134,12 +136,12 @@
     return hashlib.sha256(body).digest()[:16]
 
 
-Picked = tuple[document_lib.Service, str]
+_Selection = tuple[document_lib.Service, str]
 
 
-def _pick_plain(
+def _select_plain(
     name: str, document: document_lib.Document
-) -> result.Outcome[Picked]:
+) -> result.Outcome[_Selection]:
     service = document.services.get(name)
     if service is None:
         return result.Failure(
@@ -154,13 +156,13 @@
     return service, ""
 
 
-def _pick_model(
-    asked: Asked, document: document_lib.Document
-) -> result.Outcome[Picked]:
-    service = document.services.get(asked.model)
+def _select_model(
+    fields: RoutingFields, document: document_lib.Document
+) -> result.Outcome[_Selection]:
+    service = document.services.get(fields.model)
     if service is not None:
-        return _pick_by_rule(asked, service, document)
-    name, separator, version_text = asked.model.partition("@")
+        return _select_by_rule(fields, service, document)
+    name, separator, version_text = fields.model.partition("@")
     adapter = document.adapters.get(name)
     if adapter is None:
         return result.Failure(
@@ -173,14 +175,14 @@
         if not version_text.isdecimal():
             return _version_unknown(name, version_text)
         version = int(version_text)
-    return _pick_adapter(adapter, version, document)
+    return _select_adapter(adapter, version, document)
 
 
-def _pick_by_rule(
-    asked: Asked,
+def _select_by_rule(
+    fields: RoutingFields,
     service: document_lib.Service,
     document: document_lib.Document,
-) -> result.Outcome[Picked]:
+) -> result.Outcome[_Selection]:
     if service.kind is not document_lib.ServiceKind.MODEL:
         return result.Failure(
             result.SERVICE_KIND_WRONG,
@@ -188,10 +190,10 @@
             f"/v1/services/{service.name}/",
         )
     for rule in document_lib.rules_of(document, service.name):
-        if _matches(rule, asked):
+        if _matches(rule, fields):
             adapter = document.adapters[rule.adapter]
             version = adapter.current if rule.version is None else rule.version
-            return _pick_adapter(adapter, version, document)
+            return _select_adapter(adapter, version, document)
     if service.adapter is None:
         return result.Failure(
             result.MODEL_UNKNOWN,
@@ -199,29 +201,29 @@
             "own; name an adapter",
         )
     adapter = document.adapters[service.adapter]
-    return _pick_adapter(adapter, adapter.current, document)
+    return _select_adapter(adapter, adapter.current, document)
 
 
-def _matches(rule: document_lib.Rule, asked: Asked) -> bool:
-    headers = asked.headers
+def _matches(rule: document_lib.Rule, fields: RoutingFields) -> bool:
+    headers = fields.headers
     if rule.header is not None and headers.get(rule.header) != rule.equals:
         return False
     if rule.share >= 1.0:
         return True
     # A keyed request must take the same side when it is sent again.
-    identity = asked.key or asked.request_id
-    drawn = (
+    identity = fields.key or fields.request_id
+    hash_fraction = (
         xxhash.xxh3_64_intdigest(f"{rule.name}/{identity}".encode())
-        / _SHARE_RANGE
+        / _HASH_RANGE
     )
-    return drawn < rule.share
+    return hash_fraction < rule.share
 
 
-def _pick_adapter(
+def _select_adapter(
     adapter: document_lib.Adapter,
     version: int,
     document: document_lib.Document,
-) -> result.Outcome[Picked]:
+) -> result.Outcome[_Selection]:
     if all(entry.version != version for entry in adapter.versions):
         return _version_unknown(adapter.name, str(version))
     service = document.services[adapter.service]
@@ -235,7 +237,9 @@
     )
 
 
-def _timeout(text: str, service: document_lib.Service) -> result.Outcome[int]:
+def _parse_timeout(
+    text: str, service: document_lib.Service
+) -> result.Outcome[int]:
     if not text:
         return service.timeout_ms
     if not (text.isascii() and text.isdecimal()) or int(text) < 1:
@@ -254,7 +258,7 @@
     return timeout_ms
 
 
-def _key(text: str, service: document_lib.Service) -> result.Outcome[str]:
+def _parse_key(text: str, service: document_lib.Service) -> result.Outcome[str]:
     if service.idempotent:
         return ""
     if not text:
--- a/packages/radishstack/src/radishstack/request/run.py
+++ b/packages/radishstack/src/radishstack/request/run.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class RunEnd:
     """How a run ended.
 
     Attributes:
@@ -35,12 +35,12 @@
     Attributes:
         next_number: The next chunk to send.
         acked: Chunks before this one have reached the caller's side.
-        ended: Whether the end was sent.
+        end_sent: Whether the end was sent.
     """
 
     next_number: int = 0
     acked: int = 0
-    ended: bool = False
+    end_sent: bool = False
 
 
 class Run:
@@ -75,7 +75,7 @@
         self.overflowed = False
         self.status = 0
         self.content_type = ""
-        self.ended: Ended | None = None
+        self.ended: RunEnd | None = None
         self.readers: dict[object, Reader] = {}
 
     def append(self, payload: bytes) -> None:
@@ -94,7 +94,7 @@
         invariant.require(
             self.ended is None, result.CHUNK_ORDER_BROKEN, "a second end"
         )
-        self.ended = Ended(self.status, self.content_type, self.total, failure)
+        self.ended = RunEnd(self.status, self.content_type, self.total, failure)
 
     def attach(self, reader_id: object, next_number: int) -> bool:
         """Adds a reader from a chunk on.
@@ -115,7 +115,7 @@
         """Removes a reader, if it is one."""
         self.readers.pop(reader_id, None)
 
-    def unsent(
+    def next_chunks(
         self, reader_id: object, window_chunks: int
     ) -> Iterator[tuple[int, bytes]]:
         """Yields what a reader may be sent now, and counts it as sent.
@@ -139,19 +139,19 @@
         reader = self.readers[reader_id]
         return (
             self.ended is not None
-            and not reader.ended
+            and not reader.end_sent
             and reader.next_number == self.total
         )
 
-    def mark_ended(self, reader_id: object) -> None:
+    def mark_end_sent(self, reader_id: object) -> None:
         """Notes that a reader was sent the end.
 
         It stays attached until it closes its stream: the end may be lost
         with its connection, and the reader then comes back for it.
         """
-        self.readers[reader_id].ended = True
+        self.readers[reader_id].end_sent = True
 
-    def forget_chunks(self) -> None:
+    def drop_chunks(self) -> None:
         """Drops the chunks of a run that ended, to make room."""
         self.chunks.clear()
         self.first_held = self.total
--- a/packages/radishstack/src/radishstack/request/silence.py
+++ b/packages/radishstack/src/radishstack/request/stall_timeout.py
@@ -10,16 +10,16 @@
 
 # A repeatable request leaves a silent target after this part of its
 # objective, while there is time for another answer within the route's.
-SILENCE_PART = 0.75
-MIN_SILENCE_MS = 150
+OBJECTIVE_FRACTION = 0.75
+MIN_STALL_MS = 150
 # A stream that pauses is moved shortly before the pause counts as late.
-GAP_PART = 0.8
+GAP_OBJECTIVE_FRACTION = 0.8
 # An engine whose other streams go on, or whose streams have paused before, is
 # not dead. A silent run is left there only after so many times as long, while
 # there is still time before callers give up, or once its silence exceeds the
 # engine's usual pauses by this factor.
-LIVE_PATIENCE = 4.0
-PAUSE_MARGIN = 1.5
+LIVE_ENGINE_FACTOR = 4.0
+USUAL_PAUSE_FACTOR = 1.5
 
 
 def allowed_ms(
@@ -38,11 +38,11 @@
         now_ms: Now.
     """
     if not begun:
-        return max(MIN_SILENCE_MS, route.objective_ms * SILENCE_PART)
+        return max(MIN_STALL_MS, route.objective_ms * OBJECTIVE_FRACTION)
     objective_ms = route.gap_objective_ms or route.objective_ms
-    silence_ms = max(MIN_SILENCE_MS, objective_ms * GAP_PART)
-    longest_ms = LIVE_PATIENCE * silence_ms
-    if now_ms - health.progressed_at_ms < silence_ms:
-        return longest_ms
-    usual_ms = PAUSE_MARGIN * health.pause_ms
-    return min(max(silence_ms, usual_ms), longest_ms)
+    stall_ms = max(MIN_STALL_MS, objective_ms * GAP_OBJECTIVE_FRACTION)
+    max_stall_ms = LIVE_ENGINE_FACTOR * stall_ms
+    if now_ms - health.progressed_at_ms < stall_ms:
+        return max_stall_ms
+    usual_stall_ms = USUAL_PAUSE_FACTOR * health.pause_ms
+    return min(max(stall_ms, usual_stall_ms), max_stall_ms)
--- a/packages/radishstack/src/radishstack/request/waiting.py
+++ b/packages/radishstack/src/radishstack/request/waiting.py
@@ -13,14 +13,14 @@
 
 # A waiting request asks again for its adapter this often; datagrams are lost
 # now and then.
-WANT_AGAIN_MS = 60
+LOAD_REQUEST_INTERVAL_MS = 60
 # A request waits for a load at most for this part of what it has left: refused
 # early enough, its caller still gets a second try elsewhere.
-LOAD_WAIT_PART = 0.45
+LOAD_WAIT_FRACTION = 0.45
 # How long it waits for a first word of the processes beside engines.
-UNHEARD_WAIT_MS = 600
+NO_STATUS_WAIT_MS = 600
 # When to come back after a wait in vain: a load takes a moment.
-LOAD_RETRY_MS = (150, 400)
+LOAD_RETRY_AFTER_MS = (150, 400)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 Step = Send | Wait | NoTarget | result.Failure
 
 
-class Waiting:
+class AdapterWait:
     """One request that needs an adapter, until it is sent or refused."""
 
     def __init__(
@@ -84,11 +84,11 @@
         self._began_ms = began_ms
         self._begun = begun
         self._random = random_source
-        wait_ms = left_ms if begun else round(left_ms * LOAD_WAIT_PART)
+        wait_ms = left_ms if begun else round(left_ms * LOAD_WAIT_FRACTION)
         self._until_ms = began_ms + wait_ms
         self._due_at_ms = due_at_ms
 
-    def end_by(self, at_ms: int) -> None:
+    def limit_until(self, at_ms: int) -> None:
         """Bounds the wait of a request that its process cannot outlive."""
         if not self._begun:
             self._until_ms = min(self._until_ms, at_ms)
@@ -116,25 +116,25 @@
         if choice.full_for_ms and not self._begun:
             # It would wait in vain; told at once, its caller is back when
             # the loads of now are done.
-            return self._refuse(
+            return self._reject(
                 f"every target has loads for {choice.full_for_ms} ms",
                 (choice.full_for_ms // 2, choice.full_for_ms),
             )
         if choice.load is None and not self._begun:
             # No process beside a target was heard lately: after a start or a
             # standstill here they are heard again in a moment.
-            unheard_until_ms = self._began_ms + UNHEARD_WAIT_MS
-            self._until_ms = min(self._until_ms, unheard_until_ms)
+            status_until_ms = self._began_ms + NO_STATUS_WAIT_MS
+            self._until_ms = min(self._until_ms, status_until_ms)
         if not any_usable:
             return NoTarget()
         if now_ms >= self._until_ms:
             waited_ms = now_ms - self._began_ms
-            return self._refuse(
+            return self._reject(
                 f"{self._adapter} was not loaded in {waited_ms} ms",
-                LOAD_RETRY_MS,
+                LOAD_RETRY_AFTER_MS,
             )
-        return Wait(min(WANT_AGAIN_MS, self._until_ms - now_ms))
+        return Wait(min(LOAD_REQUEST_INTERVAL_MS, self._until_ms - now_ms))
 
-    def _refuse(self, message: str, bounds_ms: tuple[int, int]) -> Step:
+    def _reject(self, message: str, bounds_ms: tuple[int, int]) -> Step:
         retry_after_ms = round(self._random.uniform(*bounds_ms))
         return result.Failure(result.ADAPTER_LOADING, message, retry_after_ms)
--- a/packages/radishstack/src/radishstack/result.py
+++ b/packages/radishstack/src/radishstack/result.py
@@ -27,14 +27,14 @@
         name: Stable name in snake case, the ``type`` of an API error.
         status: HTTP status of an answer that carries it, 0 if none does.
         executed: Whether the request ran when this code is answered.
-        elsewhere: Whether another target may answer otherwise.
+        retry_elsewhere: Whether another target may answer otherwise.
     """
 
     number: int
     name: str
     status: int
     executed: Executed = Executed.NO
-    elsewhere: bool = False
+    retry_elsewhere: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -76,14 +76,14 @@
 KEY_INVALID = Code(1012, "key_invalid", 400)
 SERVICE_KIND_WRONG = Code(1013, "service_kind_wrong", 400)
 
-QUEUE_FULL = Code(2001, "queue_full", 429, elsewhere=True)
-DEADLINE_TOO_SHORT = Code(2002, "deadline_too_short", 503, elsewhere=True)
-TARGET_LEAVING = Code(2003, "target_leaving", 503, elsewhere=True)
-TARGET_UNREACHABLE = Code(2004, "target_unreachable", 503, elsewhere=True)
-TARGET_COLD = Code(2005, "target_cold", 503, elsewhere=True)
-LOAD_FAILED = Code(2006, "load_failed", 503, elsewhere=True)
-VERSION_BEHIND = Code(2007, "version_behind", 503, elsewhere=True)
-ASSUMPTION_STALE = Code(2008, "assumption_stale", 503, elsewhere=True)
+QUEUE_FULL = Code(2001, "queue_full", 429, retry_elsewhere=True)
+DEADLINE_TOO_SHORT = Code(2002, "deadline_too_short", 503, retry_elsewhere=True)
+TARGET_LEAVING = Code(2003, "target_leaving", 503, retry_elsewhere=True)
+TARGET_UNREACHABLE = Code(2004, "target_unreachable", 503, retry_elsewhere=True)
+TARGET_COLD = Code(2005, "target_cold", 503, retry_elsewhere=True)
+LOAD_FAILED = Code(2006, "load_failed", 503, retry_elsewhere=True)
+VERSION_BEHIND = Code(2007, "version_behind", 503, retry_elsewhere=True)
+ASSUMPTION_STALE = Code(2008, "assumption_stale", 503, retry_elsewhere=True)
 CUSTOMER_LIMIT = Code(2009, "customer_limit", 429)
 SERVICE_LIMIT = Code(2010, "service_limit", 429)
 ENTRY_FULL = Code(2011, "entry_full", 503)
@@ -99,9 +99,9 @@
 ROUTE_UNKNOWN = Code(1014, "route_unknown", 404)
 CREDENTIALS_MISSING = Code(1015, "credentials_missing", 401)
 CREDENTIALS_UNKNOWN = Code(1016, "credentials_unknown", 401)
-ADAPTER_LOADING = Code(2020, "adapter_loading", 503, elsewhere=True)
-TARGET_SHED = Code(2021, "target_shed", 503, elsewhere=True)
-TARGET_MISMATCH = Code(2022, "target_mismatch", 503, elsewhere=True)
+ADAPTER_LOADING = Code(2020, "adapter_loading", 503, retry_elsewhere=True)
+TARGET_SHED = Code(2021, "target_shed", 503, retry_elsewhere=True)
+TARGET_MISMATCH = Code(2022, "target_mismatch", 503, retry_elsewhere=True)
 ROUTE_TIMEOUT_UNSENT = Code(2023, "route_timeout_unsent", 503)
 REQUEST_ENDS_TARGETS = Code(2024, "request_ends_targets", 503)
 USAGE_CAP_REACHED = Code(2025, "usage_cap_reached", 429)
--- a/packages/radishstack/src/radishstack/target.py
+++ b/packages/radishstack/src/radishstack/target.py
@@ -19,7 +19,7 @@
 TargetSettings = state_lib.TargetSettings
 Actions = state_lib.Actions
 
-_RUN_IS_OVER = result.Failure(
+_RUN_FINISHED = result.Failure(
     result.RUN_UNKNOWN, "this attempt has run and its answer is gone"
 )
 
@@ -58,18 +58,21 @@
 
 
 @_handle.register
-def _priors_answered(
-    event: event_lib.PriorsAnswered,
+def _prior_homes_answered(
+    event: event_lib.PriorHomesAnswered,
     target: Target,
     now_ms: int,
     actions: Actions,
 ) -> None:
-    target_admission.answer_priors(target, event, now_ms, actions)
+    target_admission.handle_prior_homes_answer(target, event, now_ms, actions)
 
 
 @_handle.register
-def _seal_asked(
-    event: event_lib.SealAsked, target: Target, now_ms: int, actions: Actions
+def _seal_requested(
+    event: event_lib.SealRequested,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     service = target.service(event.key[0])
     window_ms = (
@@ -91,7 +94,7 @@
     waiting = target.queue.remove(event.attempt_id)
     if waiting is not None:
         attempt = target.attempts[event.attempt_id]
-        state_lib.refuse_claimed(target, attempt, failure, now_ms, actions)
+        state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
         return
     running = target.running.get(event.attempt_id)
     # Half of a booking is worse than a booking nobody reads: what must not
@@ -127,7 +130,7 @@
         target.forecast.retry_after_ms(backoff.until_ms - now_ms),
     )
     for waiting in target.queue.waiting_for(event.adapter):
-        state_lib.refuse_waiting(target, waiting, failure, now_ms, actions)
+        state_lib.reject_waiting(target, waiting, failure, now_ms, actions)
 
 
 @_handle.register
@@ -152,8 +155,11 @@
 
 
 @_handle.register
-def _engine_seen(
-    event: event_lib.EngineSeen, target: Target, now_ms: int, actions: Actions
+def _engine_observed(
+    event: event_lib.EngineObserved,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     del actions
     target.engine_up = True
@@ -181,12 +187,15 @@
         target.forecast.retry_after_ms(target_admission.COLD_RETRY_MS),
     )
     for waiting in target.queue:
-        state_lib.refuse_waiting(target, waiting, failure, now_ms, actions)
+        state_lib.reject_waiting(target, waiting, failure, now_ms, actions)
 
 
 @_handle.register
-def _reported(
-    event: event_lib.Reported, target: Target, now_ms: int, actions: Actions
+def _adapter_reported(
+    event: event_lib.AdapterReported,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     del now_ms
     running = target.running.get(event.attempt_id)
@@ -215,7 +224,7 @@
     if running.grant is not None:
         target.residency.release(running.grant)
     if not running.cancelled:
-        target.forecast.observe_run(now_ms - running.since_ms)
+        target.forecast.observe_run(now_ms - running.dispatched_at_ms)
     if attempt.key:
         key = (attempt.service, attempt.key)
         if event.ran:
@@ -223,14 +232,14 @@
         else:
             target.ledger.withdraw(key, now_ms)
     else:
-        state_lib.close_attempt(target, attempt.attempt_id, _RUN_IS_OVER)
+        state_lib.close_attempt(target, attempt.attempt_id, _RUN_FINISHED)
     if not event.ran and running.grant is not None:
         target.residency.missing(running.grant)
 
 
 @_handle.register
-def _leaving_learned(
-    event: event_lib.LeavingLearned,
+def _drain_requested(
+    event: event_lib.DrainRequested,
     target: Target,
     now_ms: int,
     actions: Actions,
@@ -242,16 +251,19 @@
     failure = result.Failure(
         result.TARGET_LEAVING,
         f"{target.settings.name} is leaving",
-        target_admission.LEAVING_RETRY_MS,
+        target_admission.SHORT_RETRY_MS,
     )
     # What has not started goes elsewhere at once; what runs, ends here.
     for waiting in target.queue:
-        state_lib.refuse_waiting(target, waiting, failure, now_ms, actions)
+        state_lib.reject_waiting(target, waiting, failure, now_ms, actions)
 
 
 @_handle.register
-def _version_held(
-    event: event_lib.VersionHeld, target: Target, now_ms: int, actions: Actions
+def _version_activated(
+    event: event_lib.VersionActivated,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     del now_ms, actions
     if event.held.version <= target.held.version:
@@ -263,10 +275,10 @@
     for service in document.services.values():
         for adapter_name in service.warm:
             adapter = document.adapters[adapter_name]
-            exact = f"{adapter.name}@{adapter.current}"
-            order = rendezvous.order(exact, service.targets)
+            adapter_version = f"{adapter.name}@{adapter.current}"
+            order = rendezvous.order(adapter_version, service.targets)
             if name in order[: service.warm_targets]:
-                warm.add(exact)
+                warm.add(adapter_version)
     # One slot stays free of warm adapters, or no other could ever be loaded.
     keep = max(1, target.settings.slot_count - 1)
     target.warm = frozenset(sorted(warm)[:keep])
@@ -277,9 +289,9 @@
     event: event_lib.Ticked, target: Target, now_ms: int, actions: Actions
 ) -> None:
     del event
-    forgotten = target.ledger.expire(now_ms)
-    if forgotten:
-        actions.append(event_lib.Forget(tuple(forgotten)))
+    expired_ids = target.ledger.expire(now_ms)
+    if expired_ids:
+        actions.append(event_lib.DropAnswers(tuple(expired_ids)))
     for waiting in target.queue:
         _expire_waiting(target, waiting, now_ms, actions)
 
@@ -304,4 +316,4 @@
         ),
     )
     attempt = target.attempts[waiting.attempt_id]
-    state_lib.refuse_claimed(target, attempt, failure, now_ms, actions)
+    state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
--- a/packages/radishstack/src/radishstack/target_admission.py
+++ b/packages/radishstack/src/radishstack/target_admission.py
@@ -11,7 +11,7 @@
 from radishstack.request import resolve
 
 COLD_RETRY_MS = 1_000
-LEAVING_RETRY_MS = 100
+SHORT_RETRY_MS = 100
 UNKNOWN_RETRY_MS = 2_000
 
 
@@ -29,24 +29,24 @@
         now_ms: Now.
         actions: Where decisions are added.
     """
-    known = target.closed.get(attempt.attempt_id)
+    known = target.closed_attempts.get(attempt.attempt_id)
     if known is not None:
-        actions.append(event_lib.Refuse(attempt.attempt_id, known))
+        actions.append(event_lib.Reject(attempt.attempt_id, known))
         return
     if attempt.attempt_id in target.attempts:
         actions.append(event_lib.Join(attempt.attempt_id, attempt.attempt_id))
         return
     failure = _check_assumption(target, attempt)
     if failure is not None:
-        state_lib.refuse(target, attempt, failure, actions)
+        state_lib.reject(target, attempt, failure, actions)
         return
     target.popularity.touch(attempt.adapter, now_ms)
     if attempt.key:
         _submit_keyed(target, attempt, now_ms, actions)
         return
-    failure = _check_room(target, attempt, now_ms)
+    failure = _check_capacity(target, attempt, now_ms)
     if failure is not None:
-        state_lib.refuse(target, attempt, failure, actions)
+        state_lib.reject(target, attempt, failure, actions)
         return
     _enqueue(target, attempt, now_ms)
 
@@ -75,7 +75,7 @@
             result.NOT_HOME if attempt.key else result.ASSUMPTION_STALE,
             f"{attempt.service} does not run here in version "
             f"{target.held.version}",
-            LEAVING_RETRY_MS,
+            SHORT_RETRY_MS,
         )
     if attempt.key and target.settings.name != resolve.home_of(
         service.name, attempt.key, service.targets
@@ -84,7 +84,7 @@
             result.NOT_HOME,
             f"another target is home of this key in version "
             f"{target.held.version}",
-            LEAVING_RETRY_MS,
+            SHORT_RETRY_MS,
         )
     name, _, version_text = attempt.adapter.partition("@")
     adapter = target.held.document.adapters.get(name)
@@ -95,7 +95,7 @@
         return result.Failure(
             result.ASSUMPTION_STALE,
             f"{attempt.adapter} was removed by version {target.held.version}",
-            LEAVING_RETRY_MS,
+            SHORT_RETRY_MS,
             proof,
         )
     return None
@@ -108,22 +108,22 @@
     actions: state_lib.Actions,
 ) -> None:
     key = (attempt.service, attempt.key)
-    judgement = target.ledger.judge(
+    decision = target.ledger.judge(
         key,
         digest=attempt.digest,
         accepted_at_ms=attempt.accepted_at_ms,
         now_ms=now_ms,
     )
-    match judgement.verdict:
+    match decision.verdict:
         case ledger_lib.Verdict.JOIN:
             actions.append(
-                event_lib.Join(attempt.attempt_id, judgement.record.attempt_id)
+                event_lib.Join(attempt.attempt_id, decision.record.attempt_id)
             )
         case ledger_lib.Verdict.CLAIM:
-            _claim(target, attempt, judgement.record, now_ms, actions)
+            _claim(target, attempt, decision.record, now_ms, actions)
         case verdict:
             failure = _explain_verdict(target, verdict, now_ms)
-            state_lib.refuse(target, attempt, failure, actions)
+            state_lib.reject(target, attempt, failure, actions)
 
 
 def _explain_verdict(
@@ -148,7 +148,7 @@
             return result.Failure(
                 result.ATTEMPT_REFUSED,
                 "a later submission of this key was refused",
-                LEAVING_RETRY_MS,
+                SHORT_RETRY_MS,
                 # It did not run here; whether it ran on a former home, this
                 # record does not tell.
                 result.Executed.UNKNOWN,
@@ -181,9 +181,9 @@
     )
     if priors:
         target.attempts[attempt.attempt_id] = attempt
-        target.asking[attempt.attempt_id] = attempt
+        target.awaiting_prior_homes[attempt.attempt_id] = attempt
         actions.append(
-            event_lib.AskPriors(
+            event_lib.AskPriorHomes(
                 attempt.attempt_id, (attempt.service, attempt.key), priors
             )
         )
@@ -214,14 +214,14 @@
     now_ms: int,
     actions: state_lib.Actions,
 ) -> None:
-    failure = _check_room(target, attempt, now_ms)
+    failure = _check_capacity(target, attempt, now_ms)
     if failure is not None:
-        state_lib.refuse_claimed(target, attempt, failure, now_ms, actions)
+        state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
         return
     _enqueue(target, attempt, now_ms)
 
 
-def _check_room(
+def _check_capacity(
     target: state_lib.TargetState, attempt: attempt_lib.Attempt, now_ms: int
 ) -> result.Failure | None:
     """Decides whether an attempt is admitted, and if not, until when."""
@@ -229,7 +229,7 @@
         return result.Failure(
             result.TARGET_LEAVING,
             f"{target.settings.name} is leaving",
-            LEAVING_RETRY_MS,
+            SHORT_RETRY_MS,
         )
     if not target.engine_up:
         return result.Failure(
@@ -266,11 +266,11 @@
             f"{target.settings.name}",
             retry_after_ms,
         )
-    of_customer = (
+    in_flight = (
         target.queue.count_customer(customer.name)
         + target.running_by_customer[customer.name]
     )
-    if of_customer >= customer.max_in_flight:
+    if in_flight >= customer.max_in_flight:
         return result.Failure(
             result.CUSTOMER_LIMIT,
             f"{customer.name} has {customer.max_in_flight} attempts in flight "
@@ -336,14 +336,14 @@
     )
 
 
-def answer_priors(
+def handle_prior_homes_answer(
     target: state_lib.TargetState,
-    event: event_lib.PriorsAnswered,
+    event: event_lib.PriorHomesAnswered,
     now_ms: int,
     actions: state_lib.Actions,
 ) -> None:
     """Goes on with a key once its former homes have answered."""
-    attempt = target.asking.pop(event.attempt_id, None)
+    attempt = target.awaiting_prior_homes.pop(event.attempt_id, None)
     if attempt is None:
         return
     key = (attempt.service, attempt.key)
@@ -371,4 +371,4 @@
             "a former home of this key does not say whether it ran",
             target.forecast.retry_after_ms(UNKNOWN_RETRY_MS),
         )
-    state_lib.refuse_claimed(target, attempt, failure, now_ms, actions)
+    state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
--- a/packages/radishstack/src/radishstack/target_event.py
+++ b/packages/radishstack/src/radishstack/target_event.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PriorsAnswered:
+class PriorHomesAnswered:
     """Former homes answered, or did not in time.
 
     Attributes:
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SealAsked:
+class SealRequested:
     """A new home wants to run a key."""
 
     key: ledger_lib.Key
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineSeen:
+class EngineObserved:
     """The engine's own word on itself.
 
     Attributes:
@@ -111,7 +111,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reported:
+class AdapterReported:
     """The engine's own word on what an attempt runs on."""
 
     attempt_id: bytes
@@ -132,12 +132,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeavingLearned:
+class DrainRequested:
     """The platform, or a signal, says that this VM leaves."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class VersionHeld:
+class VersionActivated:
     """A newer configuration is in force here."""
 
     held: holder_lib.Held
@@ -151,18 +151,18 @@
 Event = (
     Submitted
     | Cancelled
-    | PriorsAnswered
-    | SealAsked
+    | PriorHomesAnswered
+    | SealRequested
     | Loaded
     | LoadFailed
     | Unloaded
     | UnloadFailed
-    | EngineSeen
+    | EngineObserved
     | EngineLost
-    | Reported
+    | AdapterReported
     | RunEnded
-    | LeavingLearned
-    | VersionHeld
+    | DrainRequested
+    | VersionActivated
     | Ticked
 )
 
@@ -184,7 +184,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Answer every reader of the attempt with a failure."""
 
     attempt_id: bytes
@@ -200,7 +200,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskPriors:
+class AskPriorHomes:
     """Ask former homes to seal a key."""
 
     attempt_id: bytes
@@ -243,7 +243,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forget:
+class DropAnswers:
     """Drop the kept answers of these attempts."""
 
     attempt_ids: tuple[bytes, ...]
@@ -251,12 +251,12 @@
 
 Action = (
     Dispatch
-    | Refuse
+    | Reject
     | Join
-    | AskPriors
+    | AskPriorHomes
     | AnswerSeal
     | StartLoad
     | StartUnload
     | Abort
-    | Forget
+    | DropAnswers
 )
--- a/packages/radishstack/src/radishstack/target_schedule.py
+++ b/packages/radishstack/src/radishstack/target_schedule.py
@@ -43,7 +43,7 @@
 ) -> None:
     attempt = target.attempts[waiting.attempt_id]
     invariant.require(
-        attempt.attempt_id not in target.closed,
+        attempt.attempt_id not in target.closed_attempts,
         result.REFUSED_AND_RUN,
         f"dispatch of refused attempt {attempt.attempt_id.hex()}",
     )
@@ -72,11 +72,11 @@
     residency = target.residency
     if residency.loading_count() >= target.settings.max_parallel_loads:
         return
-    for adapter in _wanted_adapters(target, now_ms):
+    for adapter in _adapters_to_load(target, now_ms):
         if residency.loading_count() >= target.settings.max_parallel_loads:
             return
         if residency.free_slots() <= 0:
-            _make_room(target, now_ms, actions)
+            _start_eviction(target, now_ms, actions)
             continue
         if not target.budget.take(now_ms):
             return
@@ -86,7 +86,7 @@
         )
 
 
-def _wanted_adapters(target: state_lib.TargetState, now_ms: int) -> list[str]:
+def _adapters_to_load(target: state_lib.TargetState, now_ms: int) -> list[str]:
     """Returns what to load, the most urgent first, warm ones last."""
     absent = residency_lib.Standing.ABSENT
     urgency: list[tuple[int, float, int, str]] = []
@@ -97,18 +97,18 @@
         rank = min(fair_queue.effective_rank(one, now_ms) for one in waiting)
         weight = sum(0.1 + one.stall_weight for one in waiting)
         urgency.append((rank, -weight, waiting[0].enqueued_at_ms, adapter))
-    wanted = [adapter for *_, adapter in sorted(urgency)]
+    to_load = [adapter for *_, adapter in sorted(urgency)]
     if not target.leaving:
-        wanted.extend(
+        to_load.extend(
             adapter
             for adapter in sorted(target.warm)
-            if adapter not in wanted
+            if adapter not in to_load
             and target.residency.standing(adapter, now_ms) is absent
         )
-    return wanted
+    return to_load
 
 
-def _make_room(
+def _start_eviction(
     target: state_lib.TargetState, now_ms: int, actions: state_lib.Actions
 ) -> None:
     """Closes the adapter that is missed least, if any may go."""
--- a/packages/radishstack/src/radishstack/target_state.py
+++ b/packages/radishstack/src/radishstack/target_state.py
@@ -20,7 +20,7 @@
 from radishstack.version import document as document_lib
 from radishstack.version import holder as holder_lib
 
-CLOSED_KEEP = 65_536
+MAX_CLOSED_ATTEMPTS = 65_536
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,13 +56,13 @@
     Attributes:
         attempt: The attempt.
         grant: Its grant, None at a plain service.
-        since_ms: When it was dispatched.
+        dispatched_at_ms: When it was dispatched.
         cancelled: Whether it was told to stop.
     """
 
     attempt: attempt_lib.Attempt
     grant: residency_lib.Grant | None
-    since_ms: int
+    dispatched_at_ms: int
     cancelled: bool = False
 
 
@@ -106,12 +106,12 @@
         self.engine_up = settings.kind is checks.TargetKind.PLAIN
         self.leaving = False
         self.attempts: dict[bytes, attempt_lib.Attempt] = {}
-        self.asking: dict[bytes, attempt_lib.Attempt] = {}
+        self.awaiting_prior_homes: dict[bytes, attempt_lib.Attempt] = {}
         self.running: dict[bytes, Running] = {}
         self.running_by_customer: collections.Counter[str] = (
             collections.Counter()
         )
-        self.closed: collections.OrderedDict[bytes, result.Failure] = (
+        self.closed_attempts: collections.OrderedDict[bytes, result.Failure] = (
             collections.OrderedDict()
         )
         self.warm: frozenset[str] = frozenset()
@@ -119,7 +119,9 @@
     @property
     def idle(self) -> bool:
         """Whether nothing is asked, queued or running."""
-        return not (self.running or self.asking or len(self.queue))
+        return not (
+            self.running or self.awaiting_prior_homes or len(self.queue)
+        )
 
     def report(
         self, adapter: str, process: bytes, now_ms: int
@@ -160,14 +162,14 @@
         """
         if self.residency.free_slots() > 0:
             return 0.0, ""
-        waited_for = set(self.queue.adapters())
+        awaited = set(self.queue.adapters())
         return min(
             (
                 (self.popularity.value(name, now_ms), name)
                 for name, slot in self.residency.slots.items()
                 if slot.standing is residency_lib.Standing.RESIDENT
                 and slot.grants == 0
-                and name not in waited_for
+                and name not in awaited
                 and name not in self.warm
             ),
             default=(math.inf, ""),
@@ -196,27 +198,27 @@
         if standing is residency_lib.Standing.LOADING:
             slot = self.residency.slots[adapter]
             return max(1, round(estimate_ms - (now_ms - slot.since_ms)))
-        ahead = sum(
+        loads_before = sum(
             self.residency.standing(other, now_ms)
             is residency_lib.Standing.ABSENT
             for other in self.queue.adapters()
             if other != adapter
         )
-        ahead += self.residency.loading_count()
-        turns = 1 + ahead // self.settings.max_parallel_loads
-        return round(turns * estimate_ms) + self.budget.delay_ms(now_ms)
+        loads_before += self.residency.loading_count()
+        batches = 1 + loads_before // self.settings.max_parallel_loads
+        return round(batches * estimate_ms) + self.budget.delay_ms(now_ms)
 
 
 def close_attempt(
     target: TargetState, attempt_id: bytes, failure: result.Failure
 ) -> None:
     """Remembers what a late copy of an attempt is answered."""
-    target.closed[attempt_id] = failure
-    while len(target.closed) > CLOSED_KEEP:
-        target.closed.popitem(last=False)
+    target.closed_attempts[attempt_id] = failure
+    while len(target.closed_attempts) > MAX_CLOSED_ATTEMPTS:
+        target.closed_attempts.popitem(last=False)
 
 
-def refuse(
+def reject(
     target: TargetState,
     attempt: attempt_lib.Attempt,
     failure: result.Failure,
@@ -230,10 +232,10 @@
     )
     target.attempts.pop(attempt.attempt_id, None)
     close_attempt(target, attempt.attempt_id, failure)
-    actions.append(event_lib.Refuse(attempt.attempt_id, failure))
+    actions.append(event_lib.Reject(attempt.attempt_id, failure))
 
 
-def refuse_claimed(
+def reject_claimed(
     target: TargetState,
     attempt: attempt_lib.Attempt,
     failure: result.Failure,
@@ -243,10 +245,10 @@
     """Refuses an attempt that may own its key in the ledger."""
     if attempt.key:
         target.ledger.refuse((attempt.service, attempt.key), now_ms)
-    refuse(target, attempt, failure, actions)
+    reject(target, attempt, failure, actions)
 
 
-def refuse_waiting(
+def reject_waiting(
     target: TargetState,
     waiting: fair_queue.Waiting,
     failure: result.Failure,
@@ -256,4 +258,4 @@
     """Removes an attempt from the queue and refuses it as not run."""
     target.queue.remove(waiting.attempt_id)
     attempt = target.attempts[waiting.attempt_id]
-    refuse_claimed(target, attempt, failure, now_ms, actions)
+    reject_claimed(target, attempt, failure, now_ms, actions)
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -563,8 +563,8 @@
     ),
     Mutant(
         "a pause is not the end",
-        "radishstack/request/silence.py",
-        "    if now_ms - health.progressed_at_ms < silence_ms:",
+        "radishstack/request/stall_timeout.py",
+        "    if now_ms - health.progressed_at_ms < stall_ms:",
         "    if False:",
         _test("fleet.test_silence"),
     ),
--- a/proofs/serving.py
+++ b/proofs/serving.py
@@ -183,7 +183,9 @@
         """A process learns some version, maybe an old one, maybe late."""
         versions = self.world.versions
         held = versions[max(0, len(versions) - 1 - to)]
-        self.world.feed(self.world.nodes[name], event_lib.VersionHeld(held))
+        self.world.feed(
+            self.world.nodes[name], event_lib.VersionActivated(held)
+        )
 
     @stateful.rule(entry=_entries)
     def spread_to_entry(self, entry: int) -> None:
@@ -199,7 +201,7 @@
         self.world.act(
             caller,
             caller.exchange.handle(
-                exchange_lib.CallerLeft(), self.world.now_ms
+                exchange_lib.CallerDisconnected(), self.world.now_ms
             ),
         )
 
--- a/proofs/world.py
+++ b/proofs/world.py
@@ -100,7 +100,7 @@
             random_source=self.random,
             budget=load_budget.BudgetSettings(1_000.0, 100.0),
         )
-        self.feed(node, event_lib.VersionHeld(self.versions[-1]))
+        self.feed(node, event_lib.VersionActivated(self.versions[-1]))
         if kind is checks.TargetKind.ENGINE:
             node.engine.fence = node.epoch * 1_000_000
             self.look(node)
@@ -114,7 +114,7 @@
 
     def look(self, node: actors.Node) -> None:
         """Lets a process ask its engine for its state."""
-        seen = event_lib.EngineSeen(
+        seen = event_lib.EngineObserved(
             str(node.engine.incarnation),
             frozenset(node.engine.resident),
             self.now_ms,
@@ -156,7 +156,7 @@
                     serving.heads.discard(attempt_id)
                 self.net.append(
                     actors.ToCaller(
-                        caller.number, attempt_id, exchange_lib.Lost()
+                        caller.number, attempt_id, exchange_lib.ConnectionLost()
                     )
                 )
 
@@ -175,22 +175,22 @@
         match action:
             case event_lib.Dispatch(attempt=attempt):
                 self.execute(node, attempt)
-            case event_lib.Refuse(attempt_id=attempt_id, failure=failure):
+            case event_lib.Reject(attempt_id=attempt_id, failure=failure):
                 serving = node.servings.pop(attempt_id, None)
                 readers = serving.run.readers if serving else {}
                 for reader in readers:
-                    self.to_caller(reader, exchange_lib.Refused(failure))
+                    self.to_caller(reader, exchange_lib.Rejected(failure))
             case event_lib.Join(attempt_id=attempt_id, owner_id=owner_id):
                 self.join(node, attempt_id, owner_id)
             case event_lib.StartLoad() | event_lib.StartUnload():
                 node.engine.orders.append((node.epoch, action))
-            case event_lib.AskPriors():
+            case event_lib.AskPriorHomes():
                 self.ask_priors(node, action)
             case event_lib.AnswerSeal(answer=answer):
                 self.seal_answer = answer
             case event_lib.Abort(attempt_id=attempt_id):
                 self.end_run(node, attempt_id, cut=True)
-            case event_lib.Forget(attempt_ids=attempt_ids):
+            case event_lib.DropAnswers(attempt_ids=attempt_ids):
                 for attempt_id in attempt_ids:
                     node.servings.pop(attempt_id, None)
 
@@ -207,7 +207,7 @@
         if owner is None or not owner.run.whole:
             failure = result.Failure(result.ANSWER_NOT_KEPT, "not kept")
             for reader in own.run.readers:
-                self.to_caller(reader, exchange_lib.Refused(failure))
+                self.to_caller(reader, exchange_lib.Rejected(failure))
             return
         node.owners[attempt_id] = owner_id
         for reader in list(own.run.readers):
@@ -215,7 +215,7 @@
         self.flush(owner)
 
     def ask_priors(
-        self, node: actors.Node, action: event_lib.AskPriors
+        self, node: actors.Node, action: event_lib.AskPriorHomes
     ) -> None:
         """Asks former homes; one that is down or frozen does not answer."""
         worst = ledger_lib.Sealing.SEALED
@@ -223,13 +223,15 @@
             prior = self.nodes[name]
             answer = ledger_lib.Sealing.UNKNOWN
             if prior.machine is not None and not prior.frozen:
-                self.feed(prior, event_lib.SealAsked(action.key, node.name, 0))
+                self.feed(
+                    prior, event_lib.SealRequested(action.key, node.name, 0)
+                )
                 answer = self.seal_answer
                 self.counts[f"seal {answer.name.lower()}"] += 1
             ran = answer is ledger_lib.Sealing.RAN
             if ran or worst is ledger_lib.Sealing.SEALED:
                 worst = answer
-        event = event_lib.PriorsAnswered(action.attempt_id, worst)
+        event = event_lib.PriorHomesAnswered(action.attempt_id, worst)
         body = (action.attempt_id, event)
         self.net.append(
             actors.ToTarget(node.name, node.epoch, "priors", body, -1)
@@ -327,12 +329,16 @@
         for reader in list(run.readers):
             if run.status and reader not in serving.heads:
                 serving.heads.add(reader)
-                started = exchange_lib.Started(200, "text", serving.adapter)
+                started = exchange_lib.ResponseStarted(
+                    200, "text", serving.adapter
+                )
                 self.to_caller(reader, started)
-            for number, payload in run.unsent(reader, READ_WINDOW):
-                self.to_caller(reader, exchange_lib.Arrived(number, payload))
+            for number, payload in run.next_chunks(reader, READ_WINDOW):
+                self.to_caller(
+                    reader, exchange_lib.ChunkArrived(number, payload)
+                )
             if run.end_is_due(reader):
-                run.mark_ended(reader)
+                run.mark_end_sent(reader)
                 failure = run.ended.failure
                 self.to_caller(
                     reader, exchange_lib.EndArrived(run.total, failure)
@@ -347,7 +353,7 @@
         """Takes a caller's request at an entry."""
         self.now_ms += 1
         held = self.versions[self.entry_versions[entry]]
-        asked = resolve.Asked(
+        asked = resolve.RoutingFields(
             request_id=str(len(self.callers)),
             model="" if service == "book" else adapter,
             service="book" if service == "book" else "",
@@ -397,11 +403,11 @@
                     self.act(caller, exchange.rehomed(list(homes), self.now_ms))
                 case exchange_lib.ForwardHead(adapter=adapter):
                     caller.told_adapter = adapter
-                case exchange_lib.Forward(payload=payload):
+                case exchange_lib.ForwardChunk(payload=payload):
                     caller.chunks.append(payload)
                 case exchange_lib.Finish():
                     self.finish(caller, "ok")
-                case exchange_lib.Reply(failure=failure):
+                case exchange_lib.ReplyFailure(failure=failure):
                     self.finish(caller, failure)
                 case exchange_lib.CancelAttempt():
                     self.close(caller)
@@ -412,7 +418,9 @@
         if node.machine is None:
             self.act(
                 caller,
-                caller.exchange.handle(exchange_lib.Unsent(), self.now_ms),
+                caller.exchange.handle(
+                    exchange_lib.ConnectFailed(), self.now_ms
+                ),
             )
             return
         caller.attempt_id = self.random.randbytes(16)
@@ -524,7 +532,7 @@
         if caller.attempt_id != message.attempt_id or caller.exchange.done:
             return
         self.act(caller, caller.exchange.handle(message.event, self.now_ms))
-        if isinstance(message.event, exchange_lib.Arrived):
+        if isinstance(message.event, exchange_lib.ChunkArrived):
             node = self.nodes[caller.exchange.target]
             owner_id = node.owners.get(message.attempt_id, b"")
             serving = node.servings.get(owner_id)
@@ -560,7 +568,7 @@
         self.accepted_ms[attempt.attempt_id] = self.now_ms
         if self.random.random() < VERSION_FETCH_SHARE:
             held = self.versions[attempt.version - 1]
-            self.feed(node, event_lib.VersionHeld(held))
+            self.feed(node, event_lib.VersionActivated(held))
         if attempt.attempt_id not in node.servings:
             keep_bytes = 10_000 if attempt.key else 0
             run = run_lib.Run(keep_bytes=keep_bytes)
@@ -656,7 +664,10 @@
             exchange = caller.exchange
             if not exchange.done and self.now_ms > exchange.deadline_at_ms:
                 self.act(
-                    caller, exchange.handle(exchange_lib.Expired(), self.now_ms)
+                    caller,
+                    exchange.handle(
+                        exchange_lib.DeadlineExpired(), self.now_ms
+                    ),
                 )
 
     def change(self, operation: operation_lib.Operation) -> None:
@@ -678,7 +689,7 @@
         """Lets a process learn that its VM leaves."""
         if node.machine is None or node.frozen:
             return
-        self.feed(node, event_lib.LeavingLearned())
+        self.feed(node, event_lib.DrainRequested())
         self.left_at_ms[node.name] = self.now_ms
 
     def check(self) -> None:
--- a/tests/fleet/test_forwarding_decisions.py
+++ b/tests/fleet/test_forwarding_decisions.py
@@ -44,14 +44,14 @@
     repeats=st.booleans(),
     targets=st.integers(1, 3),
     left_ms=st.sampled_from([10, 900]),
-    paid=st.booleans(),
+    retry_allowed=st.booleans(),
 )
-def test_a_possible_run_is_never_followed_by_another(
+def test_a_request_that_may_have_run_is_not_sent_again(
     outcomes: list[Outcome],
     repeats: bool,
     targets: int,
     left_ms: int,
-    paid: bool,
+    retry_allowed: bool,
 ) -> None:
     """Symptom: an actuator command is carried out twice.
 
@@ -74,8 +74,10 @@
         fresh = [name for name in allowed if name not in state.reached]
         instance = (fresh or allowed)[0]
         if outcome is not Outcome.UNSENT:
-            state.sending(instance)
-        step = state.ended(instance, outcome, left_ms, paid=paid)
+            state.record_send(instance)
+        step = state.ended(
+            instance, outcome, left_ms, retry_allowed=retry_allowed
+        )
         may_have_run = may_have_run or outcome not in PROVEN
         if step is not Step.GIVE_UP:
             assert repeats or not may_have_run
@@ -88,13 +90,13 @@
         return
 
 
-def test_a_second_send_after_a_possible_run_stops_the_request() -> None:
+def test_a_second_send_after_a_possible_run_breaks_the_invariant() -> None:
     """The invariant holds whoever calls, and names its code."""
     state = forwarding.Forwarding(_route())
-    state.sending("i0")
-    state.ended("i0", Outcome.LOST, 500, paid=True)
+    state.record_send("i0")
+    state.ended("i0", Outcome.LOST, 500, retry_allowed=True)
     try:
-        state.sending("i1")
+        state.record_send("i1")
     except invariant.InvariantBrokenError as error:
         assert error.code is result.SENT_AFTER_POSSIBLE_RUN
     else:
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from radishstack.process import roster
-from radishstack.request import silence
+from radishstack.request import stall_timeout
 from radishstack.version import route_table
 
 NOW_MS = 10_000
@@ -24,22 +24,22 @@
 
 
 def _allowed_ms(health: roster.Health, *, begun: bool = True) -> float:
-    return silence.allowed_ms(ROUTE, health, begun=begun, now_ms=NOW_MS)
+    return stall_timeout.allowed_ms(ROUTE, health, begun=begun, now_ms=NOW_MS)
 
 
-def test_a_quiet_engine_is_left_before_the_pause_is_late() -> None:
+def test_a_stalled_stream_is_moved_before_the_objective_is_missed() -> None:
     """No stream of it goes on, and none has paused before."""
     assert _allowed_ms(roster.Health()) == 240
 
 
-def test_a_pause_of_one_stream_is_no_reason_to_leave() -> None:
+def test_a_stall_is_tolerated_while_other_streams_progress() -> None:
     """Load pattern: an engine reads a prompt, its other streams go on."""
     health = roster.Health()
     health.progressed(20, NOW_MS - 100)
     assert _allowed_ms(health) == 960
 
 
-def test_pauses_that_are_usual_at_an_engine_are_waited_for() -> None:
+def test_the_usual_pauses_of_an_engine_are_tolerated() -> None:
     """Learned from its streams, and forgotten as they get shorter."""
     health = roster.Health()
     health.progressed(500, NOW_MS - 2_000)
@@ -49,11 +49,13 @@
     assert _allowed_ms(health) == 240
 
 
-def test_before_the_first_event_the_objective_counts() -> None:
+def test_the_objective_bounds_the_wait_for_the_first_event() -> None:
     """Whatever pauses its streams make later."""
     health = roster.Health()
     health.progressed(500, NOW_MS)
     assert _allowed_ms(health, begun=False) == 750
     short = dataclasses.replace(ROUTE, objective_ms=100)
-    allowed_ms = silence.allowed_ms(short, health, begun=False, now_ms=NOW_MS)
-    assert allowed_ms == silence.MIN_SILENCE_MS
+    allowed_ms = stall_timeout.allowed_ms(
+        short, health, begun=False, now_ms=NOW_MS
+    )
+    assert allowed_ms == stall_timeout.MIN_STALL_MS
--- a/tests/fleet/test_waiting.py
+++ b/tests/fleet/test_waiting.py
@@ -18,8 +18,8 @@
 
 def _waiting(
     *, left_ms: int = 5_000, begun: bool = False
-) -> waiting_lib.Waiting:
-    return waiting_lib.Waiting(
+) -> waiting_lib.AdapterWait:
+    return waiting_lib.AdapterWait(
         "base/a1",
         began_ms=NOW_MS,
         left_ms=left_ms,
@@ -29,7 +29,7 @@
     )
 
 
-def test_a_wait_in_vain_is_refused_at_once() -> None:
+def test_a_wait_that_cannot_succeed_is_rejected_at_once() -> None:
     """The caller is told when to come back, within the predicted time."""
     full = placement_lib.Choice(None, None, full_for_ms=900)
     step = _waiting().decide(full, any_usable=True, now_ms=NOW_MS)
@@ -38,7 +38,7 @@
     assert 450 <= step.retry_after_ms <= 900
 
 
-def test_a_stream_that_has_begun_is_tried_to_the_end() -> None:
+def test_a_started_stream_is_never_rejected() -> None:
     """Symptom: an answer is cut although another target could go on with it.
 
     Sequence: a target ends in the middle of a stream that may be resumed,
@@ -65,12 +65,12 @@
         assert isinstance(step, result.Failure) and step.retry_after_ms
 
 
-def test_nobody_waits_long_for_a_first_word() -> None:
+def test_the_wait_without_status_updates_is_short() -> None:
     """After a start the processes beside engines are heard in a moment."""
     waiting = _waiting()
     step = waiting.decide(NOWHERE, any_usable=True, now_ms=NOW_MS)
     assert isinstance(step, waiting_lib.Wait)
-    late_ms = NOW_MS + waiting_lib.UNHEARD_WAIT_MS
+    late_ms = NOW_MS + waiting_lib.NO_STATUS_WAIT_MS
     step = waiting.decide(NOWHERE, any_usable=True, now_ms=late_ms)
     assert isinstance(step, result.Failure)
     step = _waiting().decide(NOWHERE, any_usable=False, now_ms=NOW_MS)
--- a/tests/stack/test_pages.py
+++ b/tests/stack/test_pages.py
@@ -23,15 +23,17 @@
     """Number, name, status, proof and retry of every code."""
     page = (ROOT / "docs/RESULT_CODES.md").read_text(encoding="utf-8")
     rows = {
-        int(number): (name, status, executed, elsewhere)
-        for number, name, status, executed, elsewhere in CODE_ROW.findall(page)
+        int(number): (name, status, executed, retry_elsewhere)
+        for number, name, status, executed, retry_elsewhere in CODE_ROW.findall(
+            page
+        )
     }
     expected = {
         code.number: (
             code.name,
             str(code.status or "-"),
             str(code.executed),
-            "yes" if code.elsewhere else "no",
+            "yes" if code.retry_elsewhere else "no",
         )
         for code in result.BY_NUMBER.values()
     }
--- a/tests/stack/test_target.py
+++ b/tests/stack/test_target.py
@@ -31,9 +31,9 @@
         budget=load_budget.BudgetSettings(1_000.0, 100.0),
     )
     held = holder_lib.Held(1, "w1", scene.first_document())
-    target.handle(event_lib.VersionHeld(held), 0)
+    target.handle(event_lib.VersionActivated(held), 0)
     if engine:
-        seen = event_lib.EngineSeen("1", frozenset(), 0)
+        seen = event_lib.EngineObserved("1", frozenset(), 0)
         target.handle(seen, 0)
     return target
 
@@ -87,17 +87,17 @@
         action = _submit(desk, _attempt(number, key=key), 5)
         assert isinstance(action, event_lib.Dispatch)
     held_up = _attempt(10, key=keys[3], accepted_ms=6)
-    refused = _submit(desk, _attempt(11, key=keys[3], accepted_ms=7), 8)
-    assert refused.failure.code is result.CUSTOMER_LIMIT
-    assert refused.failure.executed is result.Executed.NO
+    rejected = _submit(desk, _attempt(11, key=keys[3], accepted_ms=7), 8)
+    assert rejected.failure.code is result.CUSTOMER_LIMIT
+    assert rejected.failure.executed is result.Executed.NO
     desk.handle(event_lib.RunEnded((0).to_bytes(16, "big")), 9)
     late = _submit(desk, held_up, 10)
-    assert isinstance(late, event_lib.Refuse)
+    assert isinstance(late, event_lib.Reject)
     again = _submit(desk, _attempt(12, key=keys[3], accepted_ms=11), 12)
     assert isinstance(again, event_lib.Dispatch)
 
 
-def test_grant_of_a_former_incarnation_is_void() -> None:
+def test_grant_of_a_former_incarnation_is_ignored() -> None:
     """The end of an old run does not release a new one's grant.
 
     Symptom: an adapter unloaded under a running request. Sequence: an engine
@@ -107,7 +107,7 @@
     engine = _target("engine-1")
     load = _submit(engine, _attempt(1, adapter="a1@1"), 1)
     engine.handle(event_lib.Loaded("a1@1", "1", load.order), 2)
-    seen = event_lib.EngineSeen("2", frozenset({"a1@1"}), 10)
+    seen = event_lib.EngineObserved("2", frozenset({"a1@1"}), 10)
     engine.handle(seen, 10)
     action = _submit(engine, _attempt(2, adapter="a1@1"), 11)
     assert isinstance(action, event_lib.Dispatch)
@@ -117,19 +117,19 @@
     assert not any(isinstance(one, event_lib.StartUnload) for one in other)
 
 
-def test_load_answered_by_another_incarnation_means_nothing() -> None:
+def test_load_answered_by_another_incarnation_is_ignored() -> None:
     """A load done by an engine that restarted unseen gives no grants."""
     engine = _target("engine-1")
     load = _submit(engine, _attempt(1, adapter="a1@1"), 1)
     actions = engine.handle(event_lib.Loaded("a1@1", "2", load.order), 2)
     assert actions == []
-    seen = event_lib.EngineSeen("2", frozenset({"a1@1"}), 3)
+    seen = event_lib.EngineObserved("2", frozenset({"a1@1"}), 3)
     dispatched = engine.handle(seen, 3)
     assert [type(one) for one in dispatched] == [event_lib.Dispatch]
     assert dispatched[0].grant.incarnation == "2"
 
 
-def test_restarted_home_answers_unknown_until_its_window_is_over() -> None:
+def test_restarted_home_answers_unknown_until_quarantine_ends() -> None:
     """An empty ledger is no proof that a key never ran."""
     desk = _target("desk-1", quarantine_ms=WINDOW_MS)
     key = _home_keys("desk-1", 1)[0]
@@ -139,16 +139,16 @@
     assert early.failure.retry_after_ms == WINDOW_MS - 5
 
 
-def test_deadline_that_cannot_be_met_is_answered_at_once() -> None:
+def test_deadline_that_cannot_be_met_is_rejected_at_once() -> None:
     """Nobody is held in the queue until shortly before the deadline."""
     engine = _target("engine-1")
     engine.residency.load_estimate_ms = 20_000.0
-    refused = _submit(engine, _attempt(1, adapter="a1@1"), 1)
-    assert refused.failure.code is result.DEADLINE_TOO_SHORT
-    assert refused.failure.retry_after_ms > 0
+    rejected = _submit(engine, _attempt(1, adapter="a1@1"), 1)
+    assert rejected.failure.code is result.DEADLINE_TOO_SHORT
+    assert rejected.failure.retry_after_ms > 0
 
 
-def test_one_load_however_many_wait() -> None:
+def test_waiting_requests_share_one_load() -> None:
     """Waiting requests of one adapter share one load."""
     engine = _target("engine-1")
     actions = []
