--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -23,7 +23,7 @@
 from radishstack.request import event_stream
 from radishstack.request import fingerprint as fingerprint_lib
 from radishstack.request import forwarding
-from radishstack.request import stall_timeout
+from radishstack.request import silence
 from radishstack.request import waiting as waiting_lib
 
 from radishd.connection import http_client
@@ -566,7 +566,7 @@
             movable = movable and self._has_holder(send.member)
         if not movable:
             return self.route.timeout_ms + MS_PER_S
-        silence_ms = stall_timeout.allowed_ms(
+        silence_ms = silence.allowed_ms(
             self.route,
             send.member.health,
             begun=self.began,
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -563,7 +563,7 @@
     ),
     Mutant(
         "a pause is not the end",
-        "radishstack/request/stall_timeout.py",
+        "radishstack/request/silence.py",
         "    if now_ms - health.progressed_at_ms < stall_ms:",
         "    if False:",
         _test("fleet.test_silence"),
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from radishstack.process import roster
-from radishstack.request import stall_timeout
+from radishstack.request import silence
 from radishstack.version import route_table
 
 NOW_MS = 10_000
@@ -24,7 +24,7 @@
 
 
 def _allowed_ms(health: roster.Health, *, begun: bool = True) -> float:
-    return stall_timeout.allowed_ms(ROUTE, health, begun=begun, now_ms=NOW_MS)
+    return silence.allowed_ms(ROUTE, health, begun=begun, now_ms=NOW_MS)
 
 
 def test_a_stalled_stream_is_moved_before_the_objective_is_missed() -> None:
@@ -55,7 +55,5 @@
     health.progressed(500, NOW_MS)
     assert _allowed_ms(health, begun=False) == 750
     short = dataclasses.replace(ROUTE, objective_ms=100)
-    allowed_ms = stall_timeout.allowed_ms(
-        short, health, begun=False, now_ms=NOW_MS
-    )
-    assert allowed_ms == stall_timeout.MIN_STALL_MS
+    allowed_ms = silence.allowed_ms(short, health, begun=False, now_ms=NOW_MS)
+    assert allowed_ms == silence.MIN_STALL_MS
