--- a/packages/radishstack/src/radishstack/__init__.py
+++ b/packages/radishstack/src/radishstack/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions and the document model of radishstack, without I/O."""
+"""Decision logic and document model of radishstack, free of I/O."""
--- a/packages/radishstack/src/radishstack/attempt.py
+++ b/packages/radishstack/src/radishstack/attempt.py
@@ -7,25 +7,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """What an entry daemon submits to a target process.
+    """A request as an entry daemon submits it to a target process.
 
     Attributes:
-        attempt_id: 16 random bytes, never used again.
-        request_id: The caller's request, for logs.
+        attempt_id: 16 random bytes, never reused.
+        request_id: Id of the caller's request, for logs.
         version: Configuration version it was resolved against.
         service: Service name.
         customer: Customer name.
         adapter: ``name@version``, empty for a plain service.
         key: Idempotency key, empty if there is none.
-        digest: Digest of the body, for keys used again with another one.
+        digest: Digest of the body, to detect a key reused with another body.
         accepted_at_ms: When the entry daemon accepted the request, on the
-            target's clock as the connection estimates it.
+            target's clock as estimated by the connection.
         deadline_at_ms: When the caller stops waiting, on the target's clock.
         method: HTTP method for the target.
         path: Path and query for the target.
         content_type: Content type of the body.
-        body: The body, its model field already exact.
-        streams: Whether the caller reads a stream of events.
+        body: The body, with the exact adapter version in its model field.
+        streams: Whether the caller requested an event stream.
     """
 
     attempt_id: bytes
--- a/packages/radishstack/src/radishstack/invariant.py
+++ b/packages/radishstack/src/radishstack/invariant.py
@@ -1,33 +1,33 @@
-"""Invariants that stay on in production."""
+"""Invariants that are also checked in production."""
 
 from radishstack import result
 
 
 class InvariantBrokenError(Exception):
-    """A promise of the system would be broken by going on.
+    """An invariant of the system would be violated by continuing.
 
     Attributes:
-        code: The numbered result code of the promise.
-        detail: What was about to happen.
+        code: Result code of the invariant.
+        detail: The operation that would violate it.
     """
 
     def __init__(self, code: result.Code, detail: str) -> None:
-        """Keeps the code beside the message."""
+        """Builds the message from the code and the detail."""
         super().__init__(f"{code.number} {code.name}: {detail}")
         self.code = code
         self.detail = detail
 
 
 def require(holds: bool, code: result.Code, detail: str) -> None:
-    """Raises unless a promise holds.
+    """Raises an error unless an invariant holds.
 
     Args:
-        holds: Whether the promise holds.
-        code: The result code that names the promise.
-        detail: What was about to happen, for the log line.
+        holds: Whether the invariant holds.
+        code: Result code of the invariant.
+        detail: The operation that would violate it, for the log line.
 
     Raises:
-        InvariantBrokenError: If the promise does not hold.
+        InvariantBrokenError: If the invariant does not hold.
     """
     if not holds:
         raise InvariantBrokenError(code, detail)
--- a/packages/radishstack/src/radishstack/load.py
+++ b/packages/radishstack/src/radishstack/load.py
@@ -1,19 +1,19 @@
-"""A target's own word on its state, as it travels between processes."""
+"""The load report that a target process sends to entry daemons."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """A target's own word on its state.
+    """The state of a target, as its process reports it.
 
     Attributes:
-        residency: Of the adapter asked about, a ``residency.Standing``.
-        leaving: Whether it takes no new work.
-        version: Configuration version it holds.
+        residency: ``residency.Standing`` of the requested adapter.
+        leaving: Whether it accepts no new work.
+        version: Configuration version in force at the target.
         queued: Queued attempts.
         running: Dispatched attempts.
-        wait_ms: Predicted wait for a place in the batch.
+        wait_ms: Predicted wait for a request slot.
         load_ms: Predicted time to load the adapter, 0 if resident.
         process: Identity of the target process.
         blocked: Whether every adapter slot is in use, so that a load would
--- a/packages/radishstack/src/radishstack/request/__init__.py
+++ b/packages/radishstack/src/radishstack/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""State and decisions that live as long as one request."""
--- a/packages/radishstack/src/radishstack/request/admission.py
+++ b/packages/radishstack/src/radishstack/request/admission.py
@@ -1,15 +1,17 @@
-"""Decides whether a request is admitted, and on behalf of which account.
+"""Decides whether a request is admitted, and for which client account.
 
-The checks run in this order, and the first that fails is the answer:
+The checks run in this order, and the first one that fails determines the
+response:
 
 1. a configuration is in force (503);
-2. a route matches its host and path (404);
-3. its API key is held by a client account, unless the route is public (401);
-4. its account is below its usage cap (429, ``process.usage_cap``);
-5. it is not quarantined for crashing targets (503, ``process.crash_evidence``).
-
-The first three are decided here, from the head of the request alone; they run
-again once it is read whole, and the third before each send.
+2. a route matches the host and path (404);
+3. a client account holds the API key, unless the route is public (401);
+4. the account is below its usage cap (429, ``process.usage_cap``);
+5. the request is not quarantined for crashing targets (503,
+   ``process.crash_evidence``).
+
+This module makes the first three checks, from the request head alone. They
+run again once the body has been read, and the third one before each send.
 """
 
 import dataclasses
@@ -21,13 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """What admission reads of a request.
+    """The parts of a request head that admission uses.
 
     Attributes:
         host: Host header.
         path: Path without the query.
-        key_digest: Digest of its API key, ``client_account.NO_KEY`` if it has
-            no single well-formed one.
+        key_digest: Digest of the API key, ``client_account.NO_KEY`` if there
+            is not exactly one well-formed key.
     """
 
     host: str
@@ -40,9 +42,10 @@
     """An admitted request.
 
     Attributes:
-        route: Its route.
-        account: On whose behalf it runs, None if for nobody known.
-        version: Version of the configuration that admitted it.
+        route: The matching route.
+        account: Client account that the request runs for, None if there is
+            none.
+        version: Configuration version that admitted the request.
     """
 
     route: route_table.Route
@@ -51,12 +54,12 @@
 
     @property
     def account_name(self) -> str:
-        """Name of its account, empty without one."""
+        """Name of the account, empty if there is none."""
         return "" if self.account is None else self.account.name
 
     @property
     def priority(self) -> int:
-        """Rank of the request, 0 the most urgent."""
+        """Priority rank of the request, 0 being the most urgent."""
         if self.account is None or self.account.priority is None:
             return self.route.priority
         return self.account.priority
@@ -70,7 +73,7 @@
     Args:
         table: The route table in force.
         head: The request.
-        retry_after_ms: When to come back while no configuration is known.
+        retry_after_ms: Retry delay to report while no configuration is known.
 
     Returns:
         The admission, or why the request is rejected.
@@ -93,7 +96,7 @@
 def authenticate(
     table: route_table.RouteTable, route: route_table.Route, key_digest: bytes
 ) -> result.Outcome[client_account.ClientAccount | None]:
-    """Finds the account on whose behalf a request runs.
+    """Finds the client account that a request runs for.
 
     Args:
         table: The route table in force.
@@ -101,7 +104,7 @@
         key_digest: Digest of its API key.
 
     Returns:
-        The account, None where none is needed, or why it is rejected.
+        The account, None if none is required, or why the request is rejected.
     """
     if table.accounts is None:
         return None
@@ -120,12 +123,15 @@
 def readmit(
     table: route_table.RouteTable, admission: Admission, key_digest: bytes
 ) -> result.Failure | None:
-    """Returns why a request that waited is not sent, None if it may be.
+    """Checks a request again before it is sent after a wait.
 
     Args:
         table: The route table in force now.
-        admission: Its admission.
+        admission: Its earlier admission.
         key_digest: Digest of its API key.
+
+    Returns:
+        Why it may not be sent, None if it may be.
     """
     if table.version == admission.version:
         return None
@@ -136,5 +142,5 @@
     if name == admission.account_name:
         return None
     return result.Failure(
-        result.CREDENTIALS_UNKNOWN, "the API key has another account now"
+        result.CREDENTIALS_UNKNOWN, "the API key now belongs to another account"
     )
--- a/packages/radishstack/src/radishstack/request/event_stream.py
+++ b/packages/radishstack/src/radishstack/request/event_stream.py
@@ -1,27 +1,28 @@
-"""Whole events of a server-sent event stream, each exactly once.
+"""Extracts complete events from a server-sent event stream, each one once.
 
-A target can stop in the middle of an event, and a stream that goes on at
-another target may begin with events that the caller has. Only whole events
-are passed on, so that what the caller has is always a prefix of the stream.
+A target can fail in the middle of an event, and a stream that is resumed at
+another target may repeat events that the caller already has. Only complete
+events are forwarded, so the caller always has a prefix of the stream.
 """
 
 ID_FIELD = b"id:"
-# An event larger than this is not held back any longer for its end.
+# Intended size above which a partial event is no longer buffered. It is not
+# enforced.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventStream:
-    """Cuts a byte stream into events and drops repeated ones."""
+    """Splits a byte stream into events and drops repeated ones."""
 
     __slots__ = ("_pending", "last_id")
 
     def __init__(self) -> None:
-        """Starts before the first event."""
+        """Initializes an empty stream."""
         self._pending = b""
         self.last_id = b""
 
     def restart(self) -> None:
-        """Begins to read another answer of the same stream."""
+        """Discards a partial event before another response is read."""
         self._pending = b""
 
     def feed(self, data: bytes) -> bytes:
@@ -31,8 +32,7 @@
             data: The next bytes.
 
         Returns:
-            The whole events among what was taken so far, without those that
-            were returned before.
+            The events that are complete now, without those returned before.
         """
         self._pending += data
         new_events = []
@@ -47,7 +47,7 @@
         return b"".join(new_events)
 
     def rest(self) -> bytes:
-        """Returns what is left after the last event of a whole response."""
+        """Returns the bytes after the last event of a complete response."""
         rest, self._pending = self._pending, b""
         return rest
 
--- a/packages/radishstack/src/radishstack/request/exchange.py
+++ b/packages/radishstack/src/radishstack/request/exchange.py
@@ -1,8 +1,8 @@
-"""One caller's request at an entry daemon, from its tries to its answer.
+"""Decides the retries and the reply of one request at an entry daemon.
 
-Which reply is right depends on what is proven. A refusal by a target process
-proves that the attempt did not run; a connection that never opened proves it
-too; a lost connection proves nothing.
+The reply depends on whether the request is proven not to have run. A rejection
+by a target process proves it, and so does a connection that was never opened.
+A lost connection proves nothing.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The target process refused the attempt."""
+    """The target process rejected the attempt."""
 
     failure: result.Failure
 
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """The connection was cut after the attempt was sent."""
+    """The connection was lost after the attempt was sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The target answered; its chunks follow."""
+    """The head of the response arrived; its chunks follow."""
 
     status: int
     content_type: str
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkArrived:
-    """A chunk has come."""
+    """A chunk arrived."""
 
     number: int
     payload: bytes
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndArrived:
-    """The explicit end has come."""
+    """The explicit end of the response arrived."""
 
     total: int
     failure: result.Failure | None
@@ -64,12 +64,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeadlineExpired:
-    """The caller's deadline has passed."""
+    """The caller's deadline passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller has closed its connection."""
+    """The caller closed its connection."""
 
 
 Event = (
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resume:
-    """Attach to the same attempt again, from a chunk on."""
+    """Attach to the same attempt again, starting at a given chunk."""
 
     target: str
     next_number: int
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rehome:
-    """Find the home of the key in a newer version and call ``rehomed``."""
+    """Find the key's home in a newer configuration and call ``rehomed``."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -111,8 +111,8 @@
     Attributes:
         status: HTTP status.
         content_type: Content type.
-        target: Which target answers.
-        adapter: What it ran, ``name@version``.
+        target: Target that answers.
+        adapter: Adapter that it ran, ``name@version``.
     """
 
     status: int
@@ -123,26 +123,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardChunk:
-    """Send the caller a piece of the answer."""
+    """Send the caller a chunk of the response."""
 
     payload: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finish:
-    """The answer is whole."""
+    """End the complete response."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplyFailure:
-    """Answer the caller with a failure; in mid-answer, end it as cut."""
+    """Answer with a failure; abort a response that has already begun."""
 
     failure: result.Failure
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Tell the target process that nobody reads any more."""
+    """Cancel the attempt at the target process."""
 
 
 Action = (
@@ -159,7 +159,7 @@
 
 
 class Exchange:
-    """The state of one request."""
+    """The state machine of one request."""
 
     def __init__(
         self,
@@ -169,12 +169,12 @@
         *,
         deadline_at_ms: int,
     ) -> None:
-        """Starts a request.
+        """Initializes a request.
 
         Args:
-            resolution: What it asks for.
+            resolution: What the request was resolved to.
             candidates: Targets to try, the best first.
-            budget: The daemon's retries.
+            budget: Retry budget of the daemon.
             deadline_at_ms: When the caller stops waiting.
         """
         self.resolution = resolution
@@ -193,7 +193,7 @@
 
     @property
     def keyed(self) -> bool:
-        """Whether it may run at most once."""
+        """Whether an idempotency key limits it to one run."""
         return bool(self.resolution.key)
 
     def start(self) -> Actions:
@@ -205,18 +205,18 @@
         """Handles an event.
 
         Args:
-            event: What happened.
+            event: The event.
             now_ms: Monotonic clock.
 
         Returns:
-            What to do, in order; empty once the request is done.
+            The actions to perform, in order; none once the request is done.
         """
         if self.done:
             return []
         return _handle(event, self, now_ms)
 
     def rehomed(self, candidates: list[str], now_ms: int) -> Actions:
-        """Continues with the home of the key in a newer version, if any."""
+        """Continues at the key's home in a newer configuration, if any."""
         if self.done:
             return []
         if not candidates:
@@ -240,7 +240,7 @@
         return [Send(self.target)]
 
     def _retry(self, failure: result.Failure, now_ms: int) -> Actions:
-        """Tries the next candidate, if there is one and it is allowed."""
+        """Tries the next candidate if there is one and retries are allowed."""
         self.last_failure = failure
         if not self.untried or self.tries >= MAX_TRIES:
             return self._reply(failure)
@@ -250,7 +250,7 @@
             return self._reply(
                 result.Failure(
                     result.RETRIES_EXHAUSTED,
-                    f"{failure.message}; this entry has no retries left",
+                    f"{failure.message}; this entry's retry budget is spent",
                     failure.retry_after_ms or DEFAULT_RETRY_AFTER_MS,
                     failure.proof,
                 )
@@ -261,17 +261,18 @@
         invariant.require(not self.done, result.REPLY_TWICE, failure.message)
         self.done = True
         if self.may_have_run and failure.executed is result.Executed.NO:
-            # The last try did not run, but an earlier one was lost.
+            # The last attempt did not run, but the connection of an earlier
+            # one was lost, and that attempt may have run.
             failure = dataclasses.replace(
                 failure, proof=result.Executed.UNKNOWN
             )
         return [ReplyFailure(failure)]
 
     def as_unproven(self, failure: result.Failure) -> result.Failure:
-        """Marks a failure of the entry's own making.
+        """Removes the proof of "not run" if the request is keyed.
 
-        Only the ledger of its home can say that a key did not run; an
-        earlier copy of a keyed request may have.
+        Only the ledger of the key's home can prove that a key did not run. An
+        earlier copy of a keyed request may have run.
         """
         if self.keyed and failure.executed is result.Executed.NO:
             return dataclasses.replace(failure, proof=result.Executed.UNKNOWN)
@@ -330,15 +331,15 @@
 
 
 def resume_failed(exchange: Exchange, now_ms: int) -> Actions:
-    """Goes on after the run could not be found or reached again.
+    """Handles a run that could not be found or reached again.
 
     Args:
         exchange: The request.
         now_ms: Monotonic clock.
 
     Returns:
-        Another try where running twice is allowed and nothing of the answer
-        went out; otherwise the truth, that the outcome is unknown.
+        A retry if the request may run twice and no part of the response was
+        sent; otherwise a reply that the outcome is unknown.
     """
     if exchange.done:
         return []
@@ -346,8 +347,8 @@
         return exchange._reply(_answer_cut(f"{exchange.target} was lost"))
     failure = result.Failure(
         result.OUTCOME_UNKNOWN,
-        f"{exchange.target} was lost while it had the request; whether it ran "
-        "is not known",
+        f"{exchange.target} was lost while it had the request; it is unknown "
+        "whether it ran",
         DEFAULT_RETRY_AFTER_MS,
     )
     if exchange.keyed:
@@ -412,15 +413,13 @@
     is_complete = exchange.sequence.end(event.total)
     if event.failure is not None:
         if not exchange.head_sent and not exchange.keyed:
-            # Nothing of the answer went out, and running twice is allowed.
+            # No part of the response was sent, and it may run twice.
             if event.failure.executed is not result.Executed.NO:
                 exchange.may_have_run = True
             return exchange._retry(event.failure, now_ms)
         return exchange._reply(event.failure)
     if not is_complete or not exchange.head_sent:
-        return exchange._reply(
-            _answer_cut("a part of it is missing at its end")
-        )
+        return exchange._reply(_answer_cut("its last chunks are missing"))
     exchange.done = True
     return [Finish()]
 
--- a/packages/radishstack/src/radishstack/request/fingerprint.py
+++ b/packages/radishstack/src/radishstack/request/fingerprint.py
@@ -1,7 +1,7 @@
-"""A name for what a request asks, whoever sends it and whenever.
+"""Computes a fingerprint that identifies repetitions of a request.
 
-Bodies are large and private: they are neither kept nor told nor logged, only
-this digest of fixed size is.
+Bodies are large and private, so they are neither stored nor sent to other
+processes nor logged; this digest of fixed size is used instead.
 """
 
 import hashlib
@@ -15,15 +15,16 @@
 ) -> str:
     """Returns the fingerprint of a request.
 
-    The attempt's id, its deadline and the caller's address are left out: they
-    differ when the same request comes again.
+    The attempt id, the deadline and the caller's address are left out because
+    they differ when the same request is sent again.
 
     Args:
         method: HTTP method.
-        host: Host that it is for.
+        host: Requested host.
         target: Path and query.
         body: The whole body.
-        account: Name of its client account. It stays when a key is replaced.
+        account: Name of the client account, which does not change when an API
+            key is replaced.
 
     Returns:
         ``2 * SIZE_BYTES`` hexadecimal digits.
--- a/packages/radishstack/src/radishstack/request/forwarding.py
+++ b/packages/radishstack/src/radishstack/request/forwarding.py
@@ -1,8 +1,8 @@
-"""What follows when a send of a forwarded request has come to nothing.
+"""Decides whether and where a forwarded request is sent again.
 
-The rule that everything else bends to: a request that may have run is sent
-again only if its route allows it to run twice. What proves that it has not
-run is a connection that was never opened, or the target's own word.
+The rule above all others: a request that may have run is sent again only if
+its route allows it to run twice. Only two things prove that a request did not
+run: the connection was never opened, or the target states it.
 """
 
 import dataclasses
@@ -12,16 +12,27 @@
 from radishstack import result
 from radishstack.version import route_table
 
-# Sends that never reached a target; each costs one connect timeout at most.
+# Each failed connect costs at most one connect timeout.
 MAX_FAILED_CONNECTS = 3
-# Sends in all of one attempt, those with proof that nothing ran included.
+# Includes sends that are proven not to have run.
 MAX_SENDS = 4
-# With less than this left, another send cannot be answered in time.
+# With less time remaining, another send cannot be answered in time.
 MIN_REMAINING_MS = 60
 
 
 class Outcome(enum.Enum):
-    """How a send ended."""
+    """How a send ended; the values are log and metric labels.
+
+    Attributes:
+        UNSENT: The connection could not be opened.
+        SHED: The target rejected the request because of its load.
+        MISMATCH: The target rejected the request as misdirected.
+        GONE: Another incarnation of the target rejected the request.
+        LOST: The connection was lost before the response was complete.
+        SPOILED: The response was invalid or too large.
+        SILENT: The response stalled.
+        FAILED: The target answered with a failure.
+    """
 
     UNSENT = "unsent"
     SHED = "shed"
@@ -49,7 +60,7 @@
 
 
 class Step(enum.Enum):
-    """What to do next; ``Forwarding.allows`` says where it may be sent."""
+    """The next step; ``Forwarding.allows`` checks each possible target."""
 
     SEND_AGAIN = "send_again"
     SEND_LATER = "send_later"
@@ -61,13 +72,13 @@
     """The sends of one attempt.
 
     Attributes:
-        route: Its route.
-        may_have_run: Whether a send may have run it.
-        failed_connects: Sends that never reached a target.
-        sends: Sends that reached one.
-        reached: Instances that were sent to.
+        route: The route of the request.
+        may_have_run: Whether a target may have run the request.
+        failed_connects: How many connections could not be opened.
+        sends: How many times the request was sent to a target.
+        reached: Instances that the request was sent to.
         excluded: Instances not to be chosen again.
-        failure: Why it is given up, if it is.
+        failure: Why the request failed, None as long as it has not.
     """
 
     route: route_table.Route
@@ -79,11 +90,11 @@
     failure: result.Failure | None = None
 
     def record_send(self, instance: str) -> None:
-        """Notes a send, just before its first byte leaves."""
+        """Records a send, just before its first byte is sent."""
         invariant.require(
             self.allows(instance),
             result.SENT_AFTER_POSSIBLE_RUN,
-            f"{self.route.name}: {instance} is one target too many",
+            f"{self.route.name}: {instance} is not an allowed target",
         )
         invariant.require(
             not self.may_have_run or self.route.repeatable,
@@ -95,11 +106,11 @@
 
     @property
     def may_use_another(self) -> bool:
-        """Whether a target that was not reached yet may be sent to."""
+        """Whether the request may be sent to one more target."""
         return len(self.reached) < self.route.max_targets
 
     def allows(self, instance: str) -> bool:
-        """Whether it may be sent to a target next."""
+        """Whether the request may be sent to a target next."""
         if instance in self.excluded:
             return False
         return self.may_use_another or instance in self.reached
@@ -113,17 +124,17 @@
         retry_allowed: bool,
         begun: bool = False,
     ) -> Step:
-        """Decides what follows the end of a send.
+        """Decides the next step after a send ended.
 
         Args:
-            instance: Where it went.
-            outcome: How it ended.
-            left_ms: Time that the caller still has.
+            instance: Instance that the request was sent to.
+            outcome: How the send ended.
+            left_ms: Time until the caller's deadline.
             retry_allowed: Whether the retry budget allows another send.
-            begun: Whether the caller has a part of the answer.
+            begun: Whether the caller has received a part of the response.
 
         Returns:
-            The next step; ``failure`` is set when it is to give up.
+            The next step; ``failure`` is set if it is ``GIVE_UP``.
         """
         if outcome is Outcome.UNSENT:
             self.failed_connects += 1
@@ -135,8 +146,8 @@
                 return Step.SEND_AGAIN
             return self._fail(outcome)
         if outcome is Outcome.GONE:
-            # That start of the target is over, so the request is free to go
-            # to another, as if this send had not been.
+            # That incarnation of the target has ended, so this send does not
+            # count against the number of targets that the route allows.
             self.reached.discard(instance)
             self.excluded.add(instance)
         if outcome in _MAY_HAVE_RUN:
@@ -150,9 +161,10 @@
             self.excluded.add(instance)
             return Step.SEND_AGAIN
         if begun:
-            # There is no refusal any more: cut here, all that the caller has
-            # is lost. A target that was reached before may go on with it
-            # while this one is full or gone.
+            # A response that has begun can no longer be rejected, and if it
+            # were cut here, the part that the caller has would be lost. A
+            # target that was reached before may resume it while this one is
+            # full or gone.
             self.excluded = {instance} if len(self.reached) > 1 else set()
             return Step.SEND_LATER
         if outcome is Outcome.MISMATCH:
@@ -164,16 +176,16 @@
         if self.may_have_run and code.executed is result.Executed.NO:
             code = result.OUTCOME_UNKNOWN
         self.failure = result.Failure(
-            code, f"the last send was {outcome.value}"
+            code, f"outcome of the last send: {outcome.value}"
         )
         return Step.GIVE_UP
 
     def timeout_failure(self, *, sent: bool) -> result.Failure:
-        """Returns the failure of a request whose time is up."""
+        """Returns the failure of a request whose deadline passed."""
         if sent or self.may_have_run:
             return result.Failure(
-                result.ROUTE_TIMEOUT, "the target had not answered in time"
+                result.ROUTE_TIMEOUT, "the target did not answer in time"
             )
         return result.Failure(
-            result.ROUTE_TIMEOUT_UNSENT, "no target could take it in time"
+            result.ROUTE_TIMEOUT_UNSENT, "no target was available in time"
         )
--- a/packages/radishstack/src/radishstack/request/resolve.py
+++ b/packages/radishstack/src/radishstack/request/resolve.py
@@ -1,4 +1,4 @@
-"""What a request asks for, resolved once against one version."""
+"""Resolves a request against one configuration version."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resolution:
-    """A request's answer to "which", fixed for its whole life.
+    """The service, adapter and targets of a request, fixed once resolved.
 
     Attributes:
         version: The configuration version it was resolved against.
         service: The service.
-        customer: The customer.
+        customer: The customer that the service belongs to.
         adapter: ``name@version``, empty for a plain service.
         candidates: Targets in the order to try; for a keyed request only
             its home.
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingFields:
-    """What the caller sent, as far as it decides where the request goes.
+    """The fields of a request that determine where it is sent.
 
     Attributes:
         request_id: Unique id of the request.
@@ -68,11 +68,11 @@
     """Resolves a request against one version.
 
     Args:
-        fields: What the caller sent.
+        fields: The routing fields of the request.
         held: The version, held until the request ends.
 
     Returns:
-        The resolution, or the numbered reason why there is none.
+        The resolution, or why the request cannot be resolved.
     """
     document = held.document
     if fields.service:
@@ -105,8 +105,9 @@
     """Orders a service's configured targets for a request.
 
     A keyed request has one candidate, its home. The home depends only on the
-    configured targets, never on which are alive: another entry daemon with
-    another view must send a resubmission to the same ledger.
+    configured targets, never on which of them are alive: another entry daemon
+    may see other targets alive, but must send a resubmission of the key to the
+    same ledger.
 
     Args:
         service: The service.
@@ -114,7 +115,7 @@
         key: Idempotency key, empty if there is none.
 
     Returns:
-        Target names, the first choice first.
+        Target names, the preferred ones first.
     """
     if key:
         return (home_of(service.name, key, service.targets),)
@@ -132,7 +133,7 @@
 
 
 def body_digest(body: bytes) -> bytes:
-    """Returns the digest that tells bodies of the same key apart."""
+    """Returns a digest that detects different bodies under the same key."""
     return hashlib.sha256(body).digest()[:16]
 
 
@@ -197,8 +198,8 @@
     if service.adapter is None:
         return result.Failure(
             result.MODEL_UNKNOWN,
-            f"no rule of {service.name} matches and it has no adapter of its "
-            "own; name an adapter",
+            f"no rule of {service.name} matches and it has no default adapter; "
+            "name an adapter",
         )
     adapter = document.adapters[service.adapter]
     return _select_adapter(adapter, adapter.current, document)
@@ -210,7 +211,7 @@
         return False
     if rule.share >= 1.0:
         return True
-    # A keyed request must take the same side when it is sent again.
+    # A keyed request must match the same rules when it is sent again.
     identity = fields.key or fields.request_id
     hash_fraction = (
         xxhash.xxh3_64_intdigest(f"{rule.name}/{identity}".encode())
--- a/packages/radishstack/src/radishstack/request/run.py
+++ b/packages/radishstack/src/radishstack/request/run.py
@@ -1,7 +1,7 @@
-"""One run at a target process: its chunks, and who reads them.
+"""One run at a target process: the chunks of its response and its readers.
 
-A run belongs to a request, not to a connection: when a connection is cut the
-run goes on, and its reader resumes it at the next chunk over another one.
+A run belongs to a request, not to a connection. When a connection is lost, the
+run continues, and its reader resumes at the next chunk on another connection.
 """
 
 from collections.abc import Iterator
@@ -16,10 +16,10 @@
     """How a run ended.
 
     Attributes:
-        status: HTTP status the target answered.
-        content_type: Content type of the answer.
-        total: How many chunks it has.
-        failure: Why it is not whole, or None.
+        status: HTTP status of the response.
+        content_type: Content type of the response.
+        total: Number of chunks in the response.
+        failure: Why the response is incomplete, None if it is complete.
     """
 
     status: int
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Reader:
-    """One reader's place in a run.
+    """One reader's position in a run.
 
     Attributes:
         next_number: The next chunk to send.
-        acked: Chunks before this one have reached the caller's side.
-        end_sent: Whether the end was sent.
+        acked: The reader has acknowledged all chunks before this one.
+        end_sent: Whether the end of the run was sent.
     """
 
     next_number: int = 0
@@ -44,7 +44,7 @@
 
 
 class Run:
-    """The chunks of one answer, from the target to its readers."""
+    """The chunks of one response, buffered for its readers."""
 
     __slots__ = (
         "bytes_held",
@@ -60,12 +60,12 @@
     )
 
     def __init__(self, *, keep_bytes: int) -> None:
-        """Starts an empty run.
+        """Initializes an empty run.
 
         Args:
-            keep_bytes: Up to how many bytes of the answer are kept for a
-                later resubmission of its key; 0 keeps only what its readers
-                have not acknowledged.
+            keep_bytes: Maximum size of a response that is kept for a later
+                resubmission of its key; 0 keeps only the chunks that the
+                readers have not acknowledged.
         """
         self.keep_bytes = keep_bytes
         self.chunks: list[bytes] = []
@@ -79,7 +79,7 @@
         self.readers: dict[object, Reader] = {}
 
     def append(self, payload: bytes) -> None:
-        """Adds a chunk that the target produced."""
+        """Appends a chunk that the target produced."""
         invariant.require(
             self.ended is None,
             result.CHUNK_ORDER_BROKEN,
@@ -90,21 +90,21 @@
         self.bytes_held += len(payload)
 
     def end(self, failure: result.Failure | None) -> None:
-        """Ends the run; it cannot end twice."""
+        """Ends the run; a second call breaks an invariant."""
         invariant.require(
             self.ended is None, result.CHUNK_ORDER_BROKEN, "a second end"
         )
         self.ended = RunEnd(self.status, self.content_type, self.total, failure)
 
     def attach(self, reader_id: object, next_number: int) -> bool:
-        """Adds a reader from a chunk on.
+        """Adds a reader that starts at a given chunk.
 
         Args:
-            reader_id: Who reads, unique among its readers.
-            next_number: The first chunk it lacks.
+            reader_id: Id of the reader, unique within the run.
+            next_number: The first chunk that the reader needs.
 
         Returns:
-            Whether all it lacks is still held.
+            Whether all chunks that it needs are still buffered.
         """
         if not self.first_held <= next_number <= self.total:
             return False
@@ -112,17 +112,17 @@
         return True
 
     def detach(self, reader_id: object) -> None:
-        """Removes a reader, if it is one."""
+        """Removes a reader if it is attached."""
         self.readers.pop(reader_id, None)
 
     def next_chunks(
         self, reader_id: object, window_chunks: int
     ) -> Iterator[tuple[int, bytes]]:
-        """Yields what a reader may be sent now, and counts it as sent.
+        """Yields the chunks to send to a reader now and counts them as sent.
 
         Args:
             reader_id: The reader.
-            window_chunks: How many chunks may be unacknowledged.
+            window_chunks: Maximum number of unacknowledged chunks.
 
         Yields:
             Chunk numbers and payloads, in order.
@@ -135,7 +135,7 @@
             yield number, self.chunks[number - self.first_held]
 
     def end_is_due(self, reader_id: object) -> bool:
-        """Whether a reader has every chunk and lacks only the end."""
+        """Whether a reader was sent every chunk, but not the end."""
         reader = self.readers[reader_id]
         return (
             self.ended is not None
@@ -144,15 +144,15 @@
         )
 
     def mark_end_sent(self, reader_id: object) -> None:
-        """Notes that a reader was sent the end.
+        """Records that a reader was sent the end.
 
-        It stays attached until it closes its stream: the end may be lost
-        with its connection, and the reader then comes back for it.
+        The reader stays attached until it closes its stream: the end may be
+        lost with the connection, and the reader then resumes to get it.
         """
         self.readers[reader_id].end_sent = True
 
     def drop_chunks(self) -> None:
-        """Drops the chunks of a run that ended, to make room."""
+        """Drops the chunks of a finished run to free memory."""
         self.chunks.clear()
         self.first_held = self.total
         self.bytes_held = 0
@@ -186,5 +186,5 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the answer is still held from its first chunk."""
+        """Whether the response is still buffered from its first chunk."""
         return self.first_held == 0 and not self.overflowed
--- a/packages/radishstack/src/radishstack/request/sequence.py
+++ b/packages/radishstack/src/radishstack/request/sequence.py
@@ -1,4 +1,4 @@
-"""The reader's check that an answer is whole and in order."""
+"""Checks that a response arrives complete and in order."""
 
 import enum
 
@@ -7,7 +7,7 @@
 
 
 class Verdict(enum.Enum):
-    """What to do with a chunk."""
+    """What to do with a chunk that arrived."""
 
     TAKE = "take"
     SKIP = "skip"
@@ -15,7 +15,7 @@
 
 
 class Sequence:
-    """Counts the chunks of one answer across its connections."""
+    """Counts the chunks of one response across its connections."""
 
     __slots__ = ("expected", "total")
 
@@ -25,15 +25,15 @@
         self.total: int | None = None
 
     def take(self, number: int) -> Verdict:
-        """Judges an arriving chunk.
+        """Checks the number of a chunk that arrived.
 
         Args:
             number: The chunk's number.
 
         Returns:
-            ``TAKE`` for the next one, ``SKIP`` for one that was taken
-            before (a resumed connection may repeat it), ``GAP`` if one is
-            missing: going on would answer with a hole.
+            ``TAKE`` for the next chunk; ``SKIP`` for a chunk that was accepted
+            before, because a resumed connection may repeat it; ``GAP`` if a
+            chunk is missing, so that the response would have a hole.
         """
         if number < self.expected:
             return Verdict.SKIP
@@ -48,13 +48,13 @@
         return Verdict.TAKE
 
     def end(self, total: int) -> bool:
-        """Checks the explicit end.
+        """Checks the explicit end of the response.
 
         Args:
-            total: How many chunks the answer has.
+            total: Number of chunks in the response.
 
         Returns:
-            Whether every one of them was taken.
+            Whether all of them were accepted.
         """
         self.total = total
         return total == self.expected
--- a/packages/radishstack/src/radishstack/request/silence.py
+++ b/packages/radishstack/src/radishstack/request/silence.py
@@ -1,23 +1,26 @@
-"""How long a target may be silent before a request that may is sent elsewhere.
+"""Computes how long a response may stall before its request is moved.
 
-Load pattern: engines that read prompts between the tokens of other requests.
-Their streams pause for several hundred milliseconds without being in trouble,
-and a run that was left for a neighbour that is full is lost to its caller.
+Only a request that may be sent to another target is moved. Engines read
+prompts between the tokens of other requests, so healthy streams stall for
+several hundred milliseconds. A run that is abandoned although the other target
+is full is lost to its caller.
 """
 
 from radishstack.process import roster
 from radishstack.version import route_table
 
-# A repeatable request leaves a silent target after this part of its
-# objective, while there is time for another answer within the route's.
+# A request that may be repeated is moved after this fraction of its latency
+# objective, so that another target can still answer within the route's time.
 OBJECTIVE_FRACTION = 0.75
 MIN_STALL_MS = 150
-# A stream that pauses is moved shortly before the pause counts as late.
+# A stream that stalls is moved shortly before the stall misses the gap
+# objective.
 GAP_OBJECTIVE_FRACTION = 0.8
-# An engine whose other streams go on, or whose streams have paused before, is
-# not dead. A silent run is left there only after so many times as long, while
-# there is still time before callers give up, or once its silence exceeds the
-# engine's usual pauses by this factor.
+# An engine whose other streams progress, or whose streams have stalled before,
+# is assumed alive. While its other streams progress, the stall timeout is
+# longer by ``LIVE_ENGINE_FACTOR``, which still leaves time before callers
+# disconnect. Otherwise it is ``USUAL_PAUSE_FACTOR`` times the usual pause of
+# its streams, up to the same limit.
 LIVE_ENGINE_FACTOR = 4.0
 USUAL_PAUSE_FACTOR = 1.5
 
@@ -29,12 +32,12 @@
     begun: bool,
     now_ms: int,
 ) -> float:
-    """Returns how long a target may be silent.
+    """Returns how long a response may stall before its request is moved.
 
     Args:
         route: The request's route.
-        health: What was seen of the target.
-        begun: Whether the caller has a part of the answer.
+        health: Observed health of the target.
+        begun: Whether the caller has received a part of the response.
         now_ms: Now.
     """
     if not begun:
--- a/packages/radishstack/src/radishstack/request/waiting.py
+++ b/packages/radishstack/src/radishstack/request/waiting.py
@@ -1,7 +1,6 @@
-"""How long a request waits for its adapter, and when it is turned away.
+"""Decides how long a request waits for its adapter and when it is rejected.
 
-Decisions only: where the adapter is, and where it could be loaded, comes from
-``process.placement``.
+``process.placement`` chooses the target that holds the adapter or loads it.
 """
 
 import dataclasses
@@ -11,25 +10,24 @@
 from radishstack.process import placement as placement_lib
 from radishstack.process import roster as roster_lib
 
-# A waiting request asks again for its adapter this often; datagrams are lost
-# now and then.
+# A waiting request repeats its load request, since datagrams can be lost.
 LOAD_REQUEST_INTERVAL_MS = 60
-# A request waits for a load at most for this part of what it has left: refused
-# early enough, its caller still gets a second try elsewhere.
+# Fraction of its remaining time that a request may wait for a load. The rest
+# leaves its caller time for a second try elsewhere after a rejection.
 LOAD_WAIT_FRACTION = 0.45
-# How long it waits for a first word of the processes beside engines.
+# How long a request waits while no sidecar has sent a recent status update.
 NO_STATUS_WAIT_MS = 600
-# When to come back after a wait in vain: a load takes a moment.
+# Range of the retry delay after a load was not done in time.
 LOAD_RETRY_AFTER_MS = (150, 400)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send it now.
+    """Send the request now.
 
     Attributes:
         member: The target.
-        version: Version of the adapter believed there, 0 if unknown.
+        version: Adapter version reported by the target, 0 if unknown.
     """
 
     member: roster_lib.Member
@@ -38,10 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Look again after some news, or after a while without.
+    """Decide again after the next status update or a pause.
 
     Attributes:
-        pause_ms: How long at most.
+        pause_ms: Longest time to wait.
     """
 
     pause_ms: int
@@ -49,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoTarget:
-    """A sentinel: no target of the service may get it."""
+    """No target of the service may receive the request."""
 
 
 Step = Send | Wait | NoTarget | result.Failure
 
 
 class AdapterWait:
-    """One request that needs an adapter, until it is sent or refused."""
+    """A request's wait for its adapter, until it is sent or rejected."""
 
     def __init__(
         self,
@@ -68,17 +66,19 @@
         begun: bool,
         random_source: random.Random,
     ) -> None:
-        """Starts to wait.
+        """Starts the wait.
 
         Args:
             adapter: The adapter.
             began_ms: Now.
-            left_ms: How long its caller still waits.
+            left_ms: Time until the caller's deadline.
             due_at_ms: When it must be sent to be answered in time.
-            begun: Whether the caller has a part of the answer. There is no
-                refusal any more then, and a stream that was cut is worth
-                nothing unless it goes on: it is tried to the end.
-            random_source: Spreads returners, so that they do not meet again.
+            begun: Whether the caller has received a part of the response. Such
+                a request can no longer be rejected, and a stream that was cut
+                is useless unless it is resumed, so the request waits until its
+                deadline.
+            random_source: Spreads the retries of rejected requests, so that
+                they do not arrive together again.
         """
         self._adapter = adapter
         self._began_ms = began_ms
@@ -89,12 +89,12 @@
         self._due_at_ms = due_at_ms
 
     def limit_until(self, at_ms: int) -> None:
-        """Bounds the wait of a request that its process cannot outlive."""
+        """Limits the wait to a time before the shutdown of this process."""
         if not self._begun:
             self._until_ms = min(self._until_ms, at_ms)
 
     def patience(self, now_ms: int) -> placement_lib.Patience:
-        """Returns how long it may still wait."""
+        """Returns how long the request may still wait."""
         return placement_lib.Patience(
             in_time_ms=self._due_at_ms - self._began_ms,
             at_all_ms=self._until_ms - now_ms,
@@ -104,25 +104,25 @@
     def decide(
         self, choice: placement_lib.Choice, *, any_usable: bool, now_ms: int
     ) -> Step:
-        """Decides what to do now.
+        """Decides the next step.
 
         Args:
-            choice: Where the adapter is, and where it is to be loaded.
-            any_usable: Whether any target may get the request.
+            choice: The target that holds the adapter, or that is to load it.
+            any_usable: Whether any target may receive the request.
             now_ms: Now.
         """
         if choice.send is not None:
             return Send(choice.send, choice.version)
         if choice.full_for_ms and not self._begun:
-            # It would wait in vain; told at once, its caller is back when
-            # the loads of now are done.
+            # The adapter would not be loaded in time. Rejected at once, the
+            # caller retries when the loads queued now are done.
             return self._reject(
                 f"every target has loads for {choice.full_for_ms} ms",
                 (choice.full_for_ms // 2, choice.full_for_ms),
             )
         if choice.load is None and not self._begun:
-            # No process beside a target was heard lately: after a start or a
-            # standstill here they are heard again in a moment.
+            # No sidecar has sent a recent status update. After a start or a
+            # pause of this process, the updates arrive again shortly.
             status_until_ms = self._began_ms + NO_STATUS_WAIT_MS
             self._until_ms = min(self._until_ms, status_until_ms)
         if not any_usable:
--- a/packages/radishstack/src/radishstack/result.py
+++ b/packages/radishstack/src/radishstack/result.py
@@ -1,4 +1,4 @@
-"""Numbered result codes, and failures as sentinel values with a reason.
+"""Numbered result codes, and failures as return values.
 
 Every code has one row in ``docs/RESULT_CODES.md``; a test compares the two.
 """
@@ -11,7 +11,7 @@
 
 
 class Executed(enum.StrEnum):
-    """Whether a request ran, as far as the one who says so can prove it."""
+    """Whether a request ran, as far as this is proven."""
 
     NO = "no"
     YES = "yes"
@@ -23,11 +23,11 @@
     """One numbered result code.
 
     Attributes:
-        number: Stable number; never used again for another meaning.
+        number: Stable number; never reused with another meaning.
         name: Stable name in snake case, the ``type`` of an API error.
-        status: HTTP status of an answer that carries it, 0 if none does.
-        executed: Whether the request ran when this code is answered.
-        retry_elsewhere: Whether another target may answer otherwise.
+        status: HTTP status of a response with this code, 0 if there is none.
+        executed: Whether a request with this result ran.
+        retry_elsewhere: Whether another target may succeed.
     """
 
     number: int
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """A sentinel for "no value", with the reason.
+    """A failed operation and its reason.
 
     Attributes:
-        code: The numbered code.
-        message: One sentence for a person.
-        retry_after_ms: When to come back, 0 if coming back does not help.
-        proof: What is proven about the run, where that differs from the
-            code's own: a keyed request may have run under its key before.
+        code: The result code.
+        message: Human-readable explanation in one sentence.
+        retry_after_ms: When to retry, 0 if a retry does not help.
+        proof: Whether the request ran, where that differs from the code's own
+            ``executed``: a keyed request may have run under its key before.
     """
 
     code: Code
@@ -166,10 +166,10 @@
     """Finds a code by its number.
 
     Args:
-        number: The number, maybe from a newer peer.
+        number: The number, possibly from a newer peer.
 
     Returns:
-        The code, or ``OUTCOME_UNKNOWN`` for a number not known here, since
-        only a code that is understood proves anything.
+        The code, or ``OUTCOME_UNKNOWN`` for an unknown number, since only a
+        known code proves anything about the request.
     """
     return BY_NUMBER.get(number, OUTCOME_UNKNOWN)
--- a/packages/radishstack/src/radishstack/target.py
+++ b/packages/radishstack/src/radishstack/target.py
@@ -1,7 +1,7 @@
-"""All decisions of one target process, at one place, on one loop.
+"""State machine that makes all decisions of one target process.
 
-Events and a time go in, actions come out. Nothing here waits, reads a clock
-or writes to a socket; the same code runs in production, under Hypothesis and
+It maps an event and a time to actions. Nothing here waits, reads a clock or
+writes to a socket, so the same code runs in production, under Hypothesis and
 in virtual time.
 """
 
@@ -20,22 +20,22 @@
 Actions = state_lib.Actions
 
 _RUN_FINISHED = result.Failure(
-    result.RUN_UNKNOWN, "this attempt has run and its answer is gone"
+    result.RUN_UNKNOWN, "this attempt has run and its answer was discarded"
 )
 
 
 class Target(state_lib.TargetState):
-    """The machine of one target process."""
+    """The state machine of one target process."""
 
     def handle(self, event: event_lib.Event, now_ms: int) -> Actions:
         """Handles an event.
 
         Args:
-            event: What happened.
-            now_ms: Monotonic clock, not before that of the last event.
+            event: The event.
+            now_ms: Monotonic clock, not before the time of the last event.
 
         Returns:
-            What to do, in order.
+            The actions to perform, in order.
         """
         actions: Actions = []
         _handle(event, self, now_ms, actions)
@@ -90,15 +90,16 @@
 def _cancelled(
     event: event_lib.Cancelled, target: Target, now_ms: int, actions: Actions
 ) -> None:
-    failure = result.Failure(result.CANCELLED, "the caller has left")
+    failure = result.Failure(result.CANCELLED, "the caller disconnected")
     waiting = target.queue.remove(event.attempt_id)
     if waiting is not None:
         attempt = target.attempts[event.attempt_id]
         state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
         return
     running = target.running.get(event.attempt_id)
-    # Half of a booking is worse than a booking nobody reads: what must not
-    # run twice runs to its end, and its answer is kept for the key.
+    # A half-done operation is worse than one whose response nobody reads, so a
+    # request that must not run twice completes. Its response is kept for the
+    # key.
     if running is None or running.attempt.key or running.cancelled:
         return
     running.cancelled = True
@@ -253,7 +254,8 @@
         f"{target.settings.name} is leaving",
         target_admission.SHORT_RETRY_MS,
     )
-    # What has not started goes elsewhere at once; what runs, ends here.
+    # Queued attempts are sent to other targets at once; running ones finish
+    # here.
     for waiting in target.queue:
         state_lib.reject_waiting(target, waiting, failure, now_ms, actions)
 
@@ -279,7 +281,8 @@
             order = rendezvous.order(adapter_version, service.targets)
             if name in order[: service.warm_targets]:
                 warm.add(adapter_version)
-    # One slot stays free of warm adapters, or no other could ever be loaded.
+    # With more than one adapter slot, one stays free of warm adapters, or no
+    # other adapter could ever be loaded.
     keep = max(1, target.settings.slot_count - 1)
     target.warm = frozenset(sorted(warm)[:keep])
 
@@ -302,7 +305,7 @@
     now_ms: int,
     actions: Actions,
 ) -> None:
-    """Answers as soon as a deadline cannot be met, not when it has passed."""
+    """Rejects an attempt once its deadline cannot be met, before it passes."""
     left_ms = waiting.deadline_at_ms - now_ms
     needed_ms = target.load_delay_ms(waiting.adapter, now_ms)
     if left_ms > 0 and needed_ms < left_ms:
@@ -310,7 +313,7 @@
     target.queue.remove(waiting.attempt_id)
     failure = result.Failure(
         result.DEADLINE_TOO_SHORT,
-        f"its deadline would pass in the queue of {target.settings.name}",
+        f"its deadline would pass while queued at {target.settings.name}",
         target.forecast.retry_after_ms(
             max(needed_ms, target_admission.COLD_RETRY_MS)
         ),
--- a/packages/radishstack/src/radishstack/target_admission.py
+++ b/packages/radishstack/src/radishstack/target_admission.py
@@ -1,4 +1,4 @@
-"""Whether a target admits an attempt, or until when it refuses it."""
+"""Decides whether a target admits an attempt, and when to retry if not."""
 
 from radishstack import attempt as attempt_lib
 from radishstack import invariant
@@ -21,13 +21,13 @@
     now_ms: int,
     actions: state_lib.Actions,
 ) -> None:
-    """Admits, joins or refuses an attempt.
+    """Admits an attempt, joins it to a run of the same key or rejects it.
 
     Args:
         target: The target.
         attempt: The attempt.
         now_ms: Now.
-        actions: Where decisions are added.
+        actions: List that the resulting actions are appended to.
     """
     known = target.closed_attempts.get(attempt.attempt_id)
     if known is not None:
@@ -54,11 +54,11 @@
 def _check_assumption(
     target: state_lib.TargetState, attempt: attempt_lib.Attempt
 ) -> result.Failure | None:
-    """Checks that what the entry assumed still holds here.
+    """Checks that the entry daemon's assumptions hold in this version.
 
-    Only what the attempt depends on counts, not whether anything changed
-    (state-based validation). A keyed attempt that fails here proves nothing
-    about its key, which another home may have run.
+    The check covers only the state that the attempt depends on, not whether
+    anything else changed (state-based validation). The rejection of a keyed
+    attempt proves nothing about its key, which another home may have run.
     """
     proof = result.Executed.UNKNOWN if attempt.key else None
     if attempt.version > target.held.version:
@@ -141,22 +141,22 @@
             return result.Failure(
                 result.KEY_QUARANTINED,
                 "the home of this key restarted within the retry window, so "
-                "it cannot tell whether the key ran before",
+                "it does not know whether the key ran before",
                 max(1, left_ms),
             )
         case ledger_lib.Verdict.LATE:
             return result.Failure(
                 result.ATTEMPT_REFUSED,
-                "a later submission of this key was refused",
+                "a later submission of this key was rejected",
                 SHORT_RETRY_MS,
-                # It did not run here; whether it ran on a former home, this
-                # record does not tell.
+                # The key did not run here, but this record does not show
+                # whether it ran on a former home.
                 result.Executed.UNKNOWN,
             )
         case _:
             return result.Failure(
                 result.LEDGER_FULL,
-                "the home of this key remembers as many keys as it can",
+                "the ledger at the home of this key is full",
                 target.forecast.retry_after_ms(UNKNOWN_RETRY_MS),
             )
 
@@ -224,7 +224,7 @@
 def _check_capacity(
     target: state_lib.TargetState, attempt: attempt_lib.Attempt, now_ms: int
 ) -> result.Failure | None:
-    """Decides whether an attempt is admitted, and if not, until when."""
+    """Returns why an attempt is not admitted, None if it is."""
     if target.leaving:
         return result.Failure(
             result.TARGET_LEAVING,
@@ -300,8 +300,8 @@
     if left_ms <= 0 or needed_ms >= left_ms:
         return result.Failure(
             result.DEADLINE_TOO_SHORT,
-            f"it would start after about {needed_ms} ms, {max(0, left_ms)} ms "
-            "are left",
+            f"it would start after about {needed_ms} ms, but its deadline is "
+            f"in {max(0, left_ms)} ms",
             target.forecast.retry_after_ms(max(needed_ms, COLD_RETRY_MS)),
         )
     return None
@@ -342,7 +342,7 @@
     now_ms: int,
     actions: state_lib.Actions,
 ) -> None:
-    """Goes on with a key once its former homes have answered."""
+    """Continues with a key once its former homes have answered."""
     attempt = target.awaiting_prior_homes.pop(event.attempt_id, None)
     if attempt is None:
         return
@@ -368,7 +368,7 @@
     else:
         failure = result.Failure(
             result.PRIOR_HOME_UNKNOWN,
-            "a former home of this key does not say whether it ran",
+            "a former home of this key did not report whether it ran",
             target.forecast.retry_after_ms(UNKNOWN_RETRY_MS),
         )
     state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
--- a/packages/radishstack/src/radishstack/target_event.py
+++ b/packages/radishstack/src/radishstack/target_event.py
@@ -1,4 +1,4 @@
-"""What happens to a target process, and what it decides to do."""
+"""Events that a target process handles, and actions that result."""
 
 import dataclasses
 
@@ -11,25 +11,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submitted:
-    """An entry daemon asks for an attempt to be run."""
+    """An entry daemon submitted an attempt."""
 
     attempt: attempt_lib.Attempt
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The last reader of an attempt has left."""
+    """The last reader of an attempt disconnected."""
 
     attempt_id: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PriorHomesAnswered:
-    """Former homes answered, or did not in time.
+    """All former homes answered or timed out.
 
     Attributes:
-        attempt_id: The attempt that waits for it.
-        answer: The worst of their answers.
+        attempt_id: The attempt that waits for the answers.
+        answer: The worst of the answers.
     """
 
     attempt_id: bytes
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SealRequested:
-    """A new home wants to run a key."""
+    """A new home asked to seal a key before it runs the key itself."""
 
     key: ledger_lib.Key
     asker: str
@@ -47,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loaded:
-    """The engine says a load is done.
+    """The engine reported that a load is done.
 
     Attributes:
-        adapter: What is loaded.
-        incarnation: The incarnation that answers. If it is not the one that
-            was seen last, the engine has restarted and the load means
-            nothing until it has been seen again.
-        order: Fencing number of the order.
+        adapter: The loaded adapter.
+        incarnation: The incarnation that answered. If it differs from the one
+            observed last, the engine has restarted, and the load is ignored;
+            the next observation of the engine shows what is loaded.
+        order: Fencing number of the load.
     """
 
     adapter: str
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadFailed:
-    """The engine refused a load, or does not list it after a lost answer."""
+    """The engine rejected a load, or lacks it after a lost response."""
 
     adapter: str
     incarnation: str
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unloaded:
-    """The engine says an unload is done."""
+    """The engine reported that an unload is done."""
 
     adapter: str
     incarnation: str
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnloadFailed:
-    """The engine still lists the adapter after an unload order."""
+    """The engine still lists the adapter after an unload."""
 
     adapter: str
     incarnation: str
@@ -92,12 +92,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineObserved:
-    """The engine's own word on itself.
+    """The engine reported its state.
 
     Attributes:
         incarnation: Changes with every start of the engine.
-        resident: Adapters it lists.
-        asked_at_ms: When it was asked; orders given since may not show.
+        resident: Adapters that the engine lists.
+        asked_at_ms: When the state was requested; it may not reflect loads and
+            unloads started since.
     """
 
     incarnation: str
@@ -112,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterReported:
-    """The engine's own word on what an attempt runs on."""
+    """The engine reported the adapter that an attempt runs on."""
 
     attempt_id: bytes
     adapter: str
@@ -120,11 +121,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A dispatched attempt's last byte has come, or its failure.
+    """A dispatched attempt completed or failed.
 
     Attributes:
         attempt_id: The attempt.
-        ran: False if the target itself said that it did not run it.
+        ran: False if the target reported that it did not run the attempt.
     """
 
     attempt_id: bytes
@@ -133,19 +134,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """The platform, or a signal, says that this VM leaves."""
+    """The platform or a signal requested that this VM be drained."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionActivated:
-    """A newer configuration is in force here."""
+    """A newer configuration version is in force."""
 
     held: holder_lib.Held
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed."""
+    """The periodic timer fired."""
 
 
 Event = (
@@ -174,8 +175,8 @@
     Attributes:
         attempt: The attempt.
         grant: Its grant, None at a plain service.
-        stalled_ms: How long it waited with its adapter not resident at
-            first; 0 if it was.
+        stalled_ms: How long it waited if its adapter was not resident when
+            it was queued, otherwise 0.
     """
 
     attempt: attempt_lib.Attempt
@@ -185,7 +186,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer every reader of the attempt with a failure."""
+    """Send every reader of the attempt a failure."""
 
     attempt_id: bytes
     failure: result.Failure
@@ -193,7 +194,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Join:
-    """Let a submission read the run of the attempt that owns its key."""
+    """Attach a submission to the run of the attempt that owns its key."""
 
     attempt_id: bytes
     owner_id: bytes
@@ -210,7 +211,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerSeal:
-    """Answer a new home."""
+    """Answer a seal request of a new home."""
 
     seal_id: int
     answer: ledger_lib.Sealing
@@ -218,7 +219,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartLoad:
-    """Order the engine to load an adapter."""
+    """Load an adapter into the engine."""
 
     adapter: str
     incarnation: str
@@ -227,7 +228,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartUnload:
-    """Order the engine to unload an adapter that nobody uses."""
+    """Unload an unused adapter from the engine."""
 
     adapter: str
     incarnation: str
--- a/packages/radishstack/src/radishstack/target_schedule.py
+++ b/packages/radishstack/src/radishstack/target_schedule.py
@@ -1,4 +1,4 @@
-"""What a target dispatches, loads and evicts next."""
+"""Decides what a target dispatches, loads and evicts next."""
 
 from radishstack import invariant
 from radishstack import result
@@ -12,7 +12,7 @@
 def schedule(
     target: state_lib.TargetState, now_ms: int, actions: state_lib.Actions
 ) -> None:
-    """Dispatches what can run, then loads what is waited for."""
+    """Dispatches runnable attempts, then starts loads for waiting ones."""
     if not target.engine_up:
         return
     while len(target.running) < target.settings.max_running:
@@ -45,7 +45,7 @@
     invariant.require(
         attempt.attempt_id not in target.closed_attempts,
         result.REFUSED_AND_RUN,
-        f"dispatch of refused attempt {attempt.attempt_id.hex()}",
+        f"dispatch of rejected attempt {attempt.attempt_id.hex()}",
     )
     invariant.require(
         attempt.attempt_id not in target.running,
@@ -87,7 +87,7 @@
 
 
 def _adapters_to_load(target: state_lib.TargetState, now_ms: int) -> list[str]:
-    """Returns what to load, the most urgent first, warm ones last."""
+    """Returns the adapters to load, the most urgent first, warm ones last."""
     absent = residency_lib.Standing.ABSENT
     urgency: list[tuple[int, float, int, str]] = []
     for adapter in target.queue.adapters():
@@ -111,7 +111,7 @@
 def _start_eviction(
     target: state_lib.TargetState, now_ms: int, actions: state_lib.Actions
 ) -> None:
-    """Closes the adapter that is missed least, if any may go."""
+    """Starts to unload the least requested adapter, if any is evictable."""
     closing = sum(
         slot.standing is residency_lib.Standing.CLOSING
         for slot in target.residency.slots.values()
--- a/packages/radishstack/src/radishstack/target_state.py
+++ b/packages/radishstack/src/radishstack/target_state.py
@@ -1,4 +1,4 @@
-"""What a target process knows: the state that its decisions share."""
+"""The state of a target process that its decisions share."""
 
 import collections
 import dataclasses
@@ -25,18 +25,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetSettings:
-    """What a target process knows of its target from its settings.
+    """Settings of a target process.
 
     Attributes:
         name: Name of the target in the document.
         kind: Engine or plain service.
         slot_count: Adapter slots of the engine.
-        max_running: Attempts that run at once.
-        max_queued: Bound on queued attempts.
-        max_parallel_loads: Loads the engine is asked for at once.
-        quarantine_ms: How long after its start unknown keys are not run.
-        first_order: Fencing number before the first order; above those of
-            any earlier process in the same slot.
+        max_running: Maximum number of running attempts.
+        max_queued: Maximum number of queued attempts.
+        max_parallel_loads: Maximum number of parallel loads at the engine.
+        quarantine_ms: How long after the start unknown keys are not run.
+        first_order: Initial fencing number, above those of any earlier process
+            in the same slot.
     """
 
     name: str
@@ -57,7 +57,7 @@
         attempt: The attempt.
         grant: Its grant, None at a plain service.
         dispatched_at_ms: When it was dispatched.
-        cancelled: Whether it was told to stop.
+        cancelled: Whether its cancellation was requested.
     """
 
     attempt: attempt_lib.Attempt
@@ -70,7 +70,19 @@
 
 
 class TargetState:
-    """Everything one target process knows of its target."""
+    """The state of one target process.
+
+    Attributes:
+        held: The configuration version in force.
+        engine_up: Whether the engine answers; always true at a plain service.
+        leaving: Whether the target is draining.
+        attempts: Attempts that are not closed, by id.
+        awaiting_prior_homes: Attempts whose former homes have not answered yet.
+        running: Dispatched attempts by id.
+        closed_attempts: Failures that late copies of closed attempts are
+            answered with, by attempt id.
+        warm: Adapters that are kept loaded even without requests.
+    """
 
     def __init__(
         self,
@@ -80,13 +92,13 @@
         random_source: random.Random,
         budget: load_budget.BudgetSettings | None = None,
     ) -> None:
-        """Starts with no configuration and an engine that was not seen.
+        """Initializes without a configuration; the engine is not up yet.
 
         Args:
-            settings: What the process knows of its target.
+            settings: Settings of the process.
             now_ms: Monotonic clock.
-            random_source: Spreads the callers' return.
-            budget: The site's allowance of loads.
+            random_source: Spreads the retries of callers.
+            budget: Load budget of the site.
         """
         self.settings = settings
         self.held = holder_lib.EMPTY
@@ -118,7 +130,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is asked, queued or running."""
+        """Whether no attempt is queued, running or waiting for former homes."""
         return not (
             self.running or self.awaiting_prior_homes or len(self.queue)
         )
@@ -126,15 +138,15 @@
     def report(
         self, adapter: str, process: bytes, now_ms: int
     ) -> load_lib.Load:
-        """Returns this target's word on itself.
+        """Returns the load report that entry daemons use for routing.
 
         Args:
-            adapter: The adapter asked about, empty for none.
+            adapter: The requested adapter, empty for none.
             process: Identity of this process.
             now_ms: Now.
 
         Returns:
-            What entry daemons route by.
+            The report.
         """
         queued, running = len(self.queue), len(self.running)
         standing = self.residency.standing(adapter, now_ms)
@@ -151,14 +163,14 @@
         )
 
     def cheapest_victim(self, now_ms: int) -> tuple[float, str]:
-        """Finds the adapter that is missed least, if any may go.
+        """Finds the least requested adapter that may be evicted.
 
         Args:
             now_ms: Now.
 
         Returns:
-            The estimated rate of its requests and its name; no name if a
-            slot is free or none may go.
+            The estimated rate of its requests and its name; the name is empty
+            if a slot is free or no adapter may be evicted.
         """
         if self.residency.free_slots() > 0:
             return 0.0, ""
@@ -176,7 +188,7 @@
         )
 
     def blocked(self, now_ms: int) -> bool:
-        """Whether no slot could be freed for another adapter now."""
+        """Whether no slot can be freed for another adapter now."""
         if self.residency.free_slots() > 0:
             return False
         closing = any(
@@ -186,11 +198,11 @@
         return not closing and not self.cheapest_victim(now_ms)[1]
 
     def service(self, name: str) -> document_lib.Service | None:
-        """Returns a service of the held version."""
+        """Returns a service of the version in force, None if unknown."""
         return self.held.document.services.get(name)
 
     def load_delay_ms(self, adapter: str, now_ms: int) -> int:
-        """Predicts when an adapter would be resident, from now."""
+        """Predicts how long it takes until an adapter is resident."""
         standing = self.residency.standing(adapter, now_ms)
         estimate_ms = self.residency.load_estimate_ms
         if not adapter or standing is residency_lib.Standing.RESIDENT:
@@ -212,7 +224,7 @@
 def close_attempt(
     target: TargetState, attempt_id: bytes, failure: result.Failure
 ) -> None:
-    """Remembers what a late copy of an attempt is answered."""
+    """Stores the failure that a late copy of an attempt is answered with."""
     target.closed_attempts[attempt_id] = failure
     while len(target.closed_attempts) > MAX_CLOSED_ATTEMPTS:
         target.closed_attempts.popitem(last=False)
@@ -224,11 +236,11 @@
     failure: result.Failure,
     actions: Actions,
 ) -> None:
-    """Refuses an attempt and records it, so that a late copy cannot run."""
+    """Rejects an attempt and records it, so that a late copy cannot run."""
     invariant.require(
         attempt.attempt_id not in target.running,
         result.REFUSED_AND_RUN,
-        f"refusal of running attempt {attempt.attempt_id.hex()}",
+        f"rejection of running attempt {attempt.attempt_id.hex()}",
     )
     target.attempts.pop(attempt.attempt_id, None)
     close_attempt(target, attempt.attempt_id, failure)
@@ -242,7 +254,7 @@
     now_ms: int,
     actions: Actions,
 ) -> None:
-    """Refuses an attempt that may own its key in the ledger."""
+    """Rejects an attempt that may own its key in the ledger."""
     if attempt.key:
         target.ledger.refuse((attempt.service, attempt.key), now_ms)
     reject(target, attempt, failure, actions)
@@ -255,7 +267,7 @@
     now_ms: int,
     actions: Actions,
 ) -> None:
-    """Removes an attempt from the queue and refuses it as not run."""
+    """Removes an attempt from the queue and rejects it as not run."""
     target.queue.remove(waiting.attempt_id)
     attempt = target.attempts[waiting.attempt_id]
     reject_claimed(target, attempt, failure, now_ms, actions)
--- a/tests/fleet/test_forwarding_decisions.py
+++ b/tests/fleet/test_forwarding_decisions.py
@@ -1,4 +1,4 @@
-"""What follows a send that came to nothing, and streams, without I/O."""
+"""Decisions after a failed send, and event streams, without I/O."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -31,8 +31,8 @@
     return route_table.Route(**(values | fields))
 
 
-# The same examples in each run, and no limit on their time: a busy machine
-# is no failure.
+# Examples are the same in each run and have no time limit, so that a busy
+# machine does not fail the test.
 _EXAMPLES = hypothesis.settings(
     max_examples=600, derandomize=True, deadline=None, database=None
 )
@@ -53,10 +53,11 @@
     left_ms: int,
     retry_allowed: bool,
 ) -> None:
-    """Symptom: an actuator command is carried out twice.
+    """Symptom: an actuator command is executed twice.
 
-    Sequence: any mix of refusals, resets and silences. Cause: an end without
-    proof was taken for one with it. Nor is "not run" said after one.
+    Sequence: any mix of rejections, connection resets and stalls. Cause: an
+    outcome that does not prove that the request did not run was treated as
+    proof. After such an outcome the reply must not state "not run" either.
     """
     kind = route_table.Repeat.IDEMPOTENT if repeats else route_table.Repeat.ONCE
     state = forwarding.Forwarding(_route(repeat=kind, max_targets=targets))
@@ -70,7 +71,7 @@
         ]
         if not allowed:
             return
-        # A target that was not reached yet is the harder case.
+        # A target that was not reached yet is the stricter case.
         fresh = [name for name in allowed if name not in state.reached]
         instance = (fresh or allowed)[0]
         if outcome is not Outcome.UNSENT:
@@ -91,7 +92,7 @@
 
 
 def test_a_second_send_after_a_possible_run_breaks_the_invariant() -> None:
-    """The invariant holds whoever calls, and names its code."""
+    """The invariant holds for every caller, and its error has the code."""
     state = forwarding.Forwarding(_route())
     state.record_send("i0")
     state.ended("i0", Outcome.LOST, 500, retry_allowed=True)
@@ -104,7 +105,7 @@
 
 
 def test_the_longest_prefix_of_the_host_wins() -> None:
-    """And a host is compared without its port and case."""
+    """A host is compared without its port and case."""
     table = route_table.make_table(
         1,
         [
@@ -130,10 +131,11 @@
 def test_each_event_is_passed_once_however_the_stream_is_cut(
     cuts: list[int], sizes: list[int], count: int
 ) -> None:
-    """Symptom: a draft repeats or lacks a sentence after a resumption.
+    """Symptom: a text repeats or lacks a sentence after a resumption.
 
-    Sequence: each answer is cut at some byte, the next goes on after the
-    last whole event, or repeats some. Cause: bytes were counted, not events.
+    Sequence: each response is cut at some byte, and the next one resumes after
+    the last complete event or repeats some. Cause: bytes were counted instead
+    of events.
     """
     events = [
         f"id: {number}\ndata: {number}\n\n".encode()
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -1,4 +1,4 @@
-"""How long a target may be silent, without I/O."""
+"""How long a response may stall before its request is moved, without I/O."""
 
 import dataclasses
 
@@ -28,19 +28,19 @@
 
 
 def test_a_stalled_stream_is_moved_before_the_objective_is_missed() -> None:
-    """No stream of it goes on, and none has paused before."""
+    """No other stream of the engine progresses, and none has stalled before."""
     assert _allowed_ms(roster.Health()) == 240
 
 
 def test_a_stall_is_tolerated_while_other_streams_progress() -> None:
-    """Load pattern: an engine reads a prompt, its other streams go on."""
+    """Load pattern: an engine reads a prompt while other streams progress."""
     health = roster.Health()
     health.progressed(20, NOW_MS - 100)
     assert _allowed_ms(health) == 960
 
 
 def test_the_usual_pauses_of_an_engine_are_tolerated() -> None:
-    """Learned from its streams, and forgotten as they get shorter."""
+    """The estimate follows the observed pauses and decays as they shorten."""
     health = roster.Health()
     health.progressed(500, NOW_MS - 2_000)
     assert _allowed_ms(health) == 750
@@ -50,7 +50,7 @@
 
 
 def test_the_objective_bounds_the_wait_for_the_first_event() -> None:
-    """Whatever pauses its streams make later."""
+    """Pauses of the engine's streams are ignored before the first event."""
     health = roster.Health()
     health.progressed(500, NOW_MS)
     assert _allowed_ms(health, begun=False) == 750
--- a/tests/fleet/test_waiting.py
+++ b/tests/fleet/test_waiting.py
@@ -1,4 +1,4 @@
-"""How long a request waits for its adapter, and when it is turned away."""
+"""How long a request waits for its adapter, and when it is rejected."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 def test_a_wait_that_cannot_succeed_is_rejected_at_once() -> None:
-    """The caller is told when to come back, within the predicted time."""
+    """The retry delay lies within the predicted duration of the loads."""
     full = placement_lib.Choice(None, None, full_for_ms=900)
     step = _waiting().decide(full, any_usable=True, now_ms=NOW_MS)
     assert isinstance(step, result.Failure)
@@ -39,11 +39,11 @@
 
 
 def test_a_started_stream_is_never_rejected() -> None:
-    """Symptom: an answer is cut although another target could go on with it.
+    """Symptom: a response is cut although another target could resume it.
 
-    Sequence: a target ends in the middle of a stream that may be resumed,
-    and the others have loads waiting. Cause: the rules for new requests were
-    applied to one that cannot be refused any more.
+    Sequence: a target crashes in the middle of a resumable stream, and the
+    others have queued loads. Cause: the rules for new requests were applied to
+    one that can no longer be rejected.
     """
     waiting = _waiting(begun=True)
     full = placement_lib.Choice(None, None, full_for_ms=900)
@@ -53,7 +53,7 @@
 
 
 def test_a_wait_leaves_time_for_a_second_try() -> None:
-    """A part of what the caller has left, however much that is."""
+    """The wait is limited to a fraction of the caller's remaining time."""
     load = placement_lib.Choice(None, _member())
     for left_ms, bound_ms in ((1_000, 450), (15_000, 6_750)):
         waiting = _waiting(left_ms=left_ms)
@@ -66,7 +66,7 @@
 
 
 def test_the_wait_without_status_updates_is_short() -> None:
-    """After a start the processes beside engines are heard in a moment."""
+    """After a start, the first status updates of sidecars arrive shortly."""
     waiting = _waiting()
     step = waiting.decide(NOWHERE, any_usable=True, now_ms=NOW_MS)
     assert isinstance(step, waiting_lib.Wait)
--- a/tests/stack/test_target.py
+++ b/tests/stack/test_target.py
@@ -1,4 +1,4 @@
-"""Single failures at the target machine, each as it was found or feared."""
+"""Regression tests for single failures of the target state machine."""
 
 import random
 
@@ -67,7 +67,7 @@
 
 
 def _home_keys(name: str, count: int) -> list[str]:
-    """Returns keys whose home a desk is."""
+    """Returns keys whose home is the given desk."""
     targets = scene.DESKS[:2]
     keys = (f"k{index}" for index in range(1_000))
     mine = (k for k in keys if resolve.home_of("book", k, targets) == name)
@@ -75,11 +75,12 @@
 
 
 def test_late_copy_of_a_refused_key_does_not_run() -> None:
-    """A key that was told "not run" is not run by an older copy.
+    """A key that was answered with "not run" is not run by an older copy.
 
-    Symptom: a booking that its caller was told was not made. Sequence: a
-    first copy is held up on its way; a second copy is refused, since the
-    customer has too much in flight; there is room again; the first arrives.
+    Symptom: a booking is made although its caller was told that it was not.
+    Sequence: a first copy is delayed in the network; a second copy is rejected
+    because the customer has too many requests in flight; a run ends, so there
+    is capacity again; the first copy arrives.
     """
     desk = _target("desk-1")
     keys = _home_keys("desk-1", 4)
@@ -98,11 +99,11 @@
 
 
 def test_grant_of_a_former_incarnation_is_ignored() -> None:
-    """The end of an old run does not release a new one's grant.
+    """The end of an old run does not release the grant of a new one.
 
-    Symptom: an adapter unloaded under a running request. Sequence: an engine
-    restarts and holds the adapter again; a request runs on it; only now the
-    end of a run from before the restart is noticed.
+    Symptom: an adapter is unloaded under a running request. Sequence: an engine
+    restarts and has the adapter loaded again; a request runs on it; only then
+    is the end of a run from before the restart observed.
     """
     engine = _target("engine-1")
     load = _submit(engine, _attempt(1, adapter="a1@1"), 1)
@@ -118,7 +119,7 @@
 
 
 def test_load_answered_by_another_incarnation_is_ignored() -> None:
-    """A load done by an engine that restarted unseen gives no grants."""
+    """A load by an engine whose restart was not observed gives no grants."""
     engine = _target("engine-1")
     load = _submit(engine, _attempt(1, adapter="a1@1"), 1)
     actions = engine.handle(event_lib.Loaded("a1@1", "2", load.order), 2)
@@ -140,7 +141,7 @@
 
 
 def test_deadline_that_cannot_be_met_is_rejected_at_once() -> None:
-    """Nobody is held in the queue until shortly before the deadline."""
+    """A request does not wait in the queue until just before its deadline."""
     engine = _target("engine-1")
     engine.residency.load_estimate_ms = 20_000.0
     rejected = _submit(engine, _attempt(1, adapter="a1@1"), 1)
