--- a/packages/radishstack/src/radishstack/request/waiting.py
+++ b/packages/radishstack/src/radishstack/request/waiting.py
@@ -17,7 +17,8 @@
 LOAD_WAIT_FRACTION = 0.45
 # How long a request waits while no sidecar has sent a recent status update.
 NO_STATUS_WAIT_MS = 600
-# Range of the retry delay after a load was not done in time.
+# Range of the retry delay after a load was not done in time. It leaves the load
+# some time to complete.
 LOAD_RETRY_AFTER_MS = (150, 400)
 
 
--- a/packages/radishstack/src/radishstack/target.py
+++ b/packages/radishstack/src/radishstack/target.py
@@ -1,4 +1,4 @@
-"""State machine that makes all decisions of one target process.
+"""State machine that makes all decisions of one target process on one loop.
 
 It maps an event and a time to actions. Nothing here waits, reads a clock or
 writes to a socket, so the same code runs in production, under Hypothesis and
