--- a/packages/radishstack/src/radishstack/request/admission.py
+++ b/packages/radishstack/src/radishstack/request/admission.py
@@ -142,5 +142,5 @@
     if name == admission.account_name:
         return None
     return result.Failure(
-        result.CREDENTIALS_UNKNOWN, "the API key now belongs to another account"
+        result.CREDENTIALS_UNKNOWN, "the API key has another account now"
     )
--- a/packages/radishstack/src/radishstack/request/exchange.py
+++ b/packages/radishstack/src/radishstack/request/exchange.py
@@ -250,7 +250,7 @@
             return self._reply(
                 result.Failure(
                     result.RETRIES_EXHAUSTED,
-                    f"{failure.message}; this entry's retry budget is spent",
+                    f"{failure.message}; this entry has no retries left",
                     failure.retry_after_ms or DEFAULT_RETRY_AFTER_MS,
                     failure.proof,
                 )
@@ -347,8 +347,8 @@
         return exchange._reply(_answer_cut(f"{exchange.target} was lost"))
     failure = result.Failure(
         result.OUTCOME_UNKNOWN,
-        f"{exchange.target} was lost while it had the request; it is unknown "
-        "whether it ran",
+        f"{exchange.target} was lost while it had the request; whether it ran "
+        "is not known",
         DEFAULT_RETRY_AFTER_MS,
     )
     if exchange.keyed:
@@ -419,7 +419,9 @@
             return exchange._retry(event.failure, now_ms)
         return exchange._reply(event.failure)
     if not is_complete or not exchange.head_sent:
-        return exchange._reply(_answer_cut("its last chunks are missing"))
+        return exchange._reply(
+            _answer_cut("a part of it is missing at its end")
+        )
     exchange.done = True
     return [Finish()]
 
--- a/packages/radishstack/src/radishstack/request/forwarding.py
+++ b/packages/radishstack/src/radishstack/request/forwarding.py
@@ -94,7 +94,7 @@
         invariant.require(
             self.allows(instance),
             result.SENT_AFTER_POSSIBLE_RUN,
-            f"{self.route.name}: {instance} is not an allowed target",
+            f"{self.route.name}: {instance} is one target too many",
         )
         invariant.require(
             not self.may_have_run or self.route.repeatable,
@@ -176,7 +176,7 @@
         if self.may_have_run and code.executed is result.Executed.NO:
             code = result.OUTCOME_UNKNOWN
         self.failure = result.Failure(
-            code, f"outcome of the last send: {outcome.value}"
+            code, f"the last send was {outcome.value}"
         )
         return Step.GIVE_UP
 
@@ -184,8 +184,8 @@
         """Returns the failure of a request whose deadline passed."""
         if sent or self.may_have_run:
             return result.Failure(
-                result.ROUTE_TIMEOUT, "the target did not answer in time"
+                result.ROUTE_TIMEOUT, "the target had not answered in time"
             )
         return result.Failure(
-            result.ROUTE_TIMEOUT_UNSENT, "no target was available in time"
+            result.ROUTE_TIMEOUT_UNSENT, "no target could take it in time"
         )
--- a/packages/radishstack/src/radishstack/request/resolve.py
+++ b/packages/radishstack/src/radishstack/request/resolve.py
@@ -198,8 +198,8 @@
     if service.adapter is None:
         return result.Failure(
             result.MODEL_UNKNOWN,
-            f"no rule of {service.name} matches and it has no default adapter; "
-            "name an adapter",
+            f"no rule of {service.name} matches and it has no adapter of its "
+            "own; name an adapter",
         )
     adapter = document.adapters[service.adapter]
     return _select_adapter(adapter, adapter.current, document)
--- a/packages/radishstack/src/radishstack/target.py
+++ b/packages/radishstack/src/radishstack/target.py
@@ -20,7 +20,7 @@
 Actions = state_lib.Actions
 
 _RUN_FINISHED = result.Failure(
-    result.RUN_UNKNOWN, "this attempt has run and its answer was discarded"
+    result.RUN_UNKNOWN, "this attempt has run and its answer is gone"
 )
 
 
@@ -90,7 +90,7 @@
 def _cancelled(
     event: event_lib.Cancelled, target: Target, now_ms: int, actions: Actions
 ) -> None:
-    failure = result.Failure(result.CANCELLED, "the caller disconnected")
+    failure = result.Failure(result.CANCELLED, "the caller has left")
     waiting = target.queue.remove(event.attempt_id)
     if waiting is not None:
         attempt = target.attempts[event.attempt_id]
@@ -313,7 +313,7 @@
     target.queue.remove(waiting.attempt_id)
     failure = result.Failure(
         result.DEADLINE_TOO_SHORT,
-        f"its deadline would pass while queued at {target.settings.name}",
+        f"its deadline would pass in the queue of {target.settings.name}",
         target.forecast.retry_after_ms(
             max(needed_ms, target_admission.COLD_RETRY_MS)
         ),
--- a/packages/radishstack/src/radishstack/target_admission.py
+++ b/packages/radishstack/src/radishstack/target_admission.py
@@ -141,13 +141,13 @@
             return result.Failure(
                 result.KEY_QUARANTINED,
                 "the home of this key restarted within the retry window, so "
-                "it does not know whether the key ran before",
+                "it cannot tell whether the key ran before",
                 max(1, left_ms),
             )
         case ledger_lib.Verdict.LATE:
             return result.Failure(
                 result.ATTEMPT_REFUSED,
-                "a later submission of this key was rejected",
+                "a later submission of this key was refused",
                 SHORT_RETRY_MS,
                 # The key did not run here, but this record does not show
                 # whether it ran on a former home.
@@ -156,7 +156,7 @@
         case _:
             return result.Failure(
                 result.LEDGER_FULL,
-                "the ledger at the home of this key is full",
+                "the home of this key remembers as many keys as it can",
                 target.forecast.retry_after_ms(UNKNOWN_RETRY_MS),
             )
 
@@ -300,8 +300,8 @@
     if left_ms <= 0 or needed_ms >= left_ms:
         return result.Failure(
             result.DEADLINE_TOO_SHORT,
-            f"it would start after about {needed_ms} ms, but its deadline is "
-            f"in {max(0, left_ms)} ms",
+            f"it would start after about {needed_ms} ms, {max(0, left_ms)} ms "
+            "are left",
             target.forecast.retry_after_ms(max(needed_ms, COLD_RETRY_MS)),
         )
     return None
@@ -368,7 +368,7 @@
     else:
         failure = result.Failure(
             result.PRIOR_HOME_UNKNOWN,
-            "a former home of this key did not report whether it ran",
+            "a former home of this key does not say whether it ran",
             target.forecast.retry_after_ms(UNKNOWN_RETRY_MS),
         )
     state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
--- a/packages/radishstack/src/radishstack/target_schedule.py
+++ b/packages/radishstack/src/radishstack/target_schedule.py
@@ -45,7 +45,7 @@
     invariant.require(
         attempt.attempt_id not in target.closed_attempts,
         result.REFUSED_AND_RUN,
-        f"dispatch of rejected attempt {attempt.attempt_id.hex()}",
+        f"dispatch of refused attempt {attempt.attempt_id.hex()}",
     )
     invariant.require(
         attempt.attempt_id not in target.running,
--- a/packages/radishstack/src/radishstack/target_state.py
+++ b/packages/radishstack/src/radishstack/target_state.py
@@ -240,7 +240,7 @@
     invariant.require(
         attempt.attempt_id not in target.running,
         result.REFUSED_AND_RUN,
-        f"rejection of running attempt {attempt.attempt_id.hex()}",
+        f"refusal of running attempt {attempt.attempt_id.hex()}",
     )
     target.attempts.pop(attempt.attempt_id, None)
     close_attempt(target, attempt.attempt_id, failure)
