--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -179,7 +179,7 @@
                 "the stream had not ended in time",
             )
             raise ResponseAbortedError
-        await self.reply(self.state.timed_out(sent=self.sent))
+        await self.reply(self.state.timeout_failure(sent=self.sent))
 
     async def _serve(self) -> None:
         while True:
@@ -218,7 +218,7 @@
             gateway.evidence.record_aborted_response(
                 member, self.fingerprint(), self.sent_at_ms
             )
-        paid = True
+        retry_allowed = True
         if outcome is not Outcome.UNSENT:
             is_safe_retry = not self.state.may_have_run and outcome in (
                 Outcome.SHED,
@@ -226,14 +226,14 @@
                 Outcome.GONE,
             )
             may_resend = self.route.repeatable or is_safe_retry
-            paid = may_resend and gateway.budget(self.service).spend(
+            retry_allowed = may_resend and gateway.budget(self.service).spend(
                 clock.boot_ms()
             )
         return self.state.ended(
             member.listing.instance,
             outcome,
             self.left_ms(),
-            paid=paid,
+            retry_allowed=retry_allowed,
             begun=self.response_started,
         )
 
@@ -339,7 +339,7 @@
         gateway = self.gateway
         adapter = self.request.adapter
         due_at_ms = self._due_at_ms()
-        waiting = waiting_lib.Waiting(
+        waiting = waiting_lib.AdapterWait(
             adapter,
             began_ms=clock.boot_ms(),
             left_ms=self.left_ms(),
@@ -355,7 +355,7 @@
                     return rejection
                 now_ms = clock.boot_ms()
                 if gateway.draining:
-                    waiting.end_by(gateway.waits_end_at_ms)
+                    waiting.limit_until(gateway.waits_end_at_ms)
                 usable = self._usable_targets(now_ms)
                 choice = gateway.placement.choose(
                     adapter, usable, now_ms, waiting.patience(now_ms)
@@ -470,7 +470,7 @@
             result.DEADLINE_GREW,
             f"{left_ms} of {self.request.left_ms} ms",
         )
-        self.state.sending(listing.instance)
+        self.state.record_send(listing.instance)
         priority = None
         if self.needs_adapter:
             priority = min(PRIORITY_MAX, self.admission.priority + 1)
@@ -628,7 +628,7 @@
             and not self.response_started
             and self.state.may_use_another
             and self.state.sends < forwarding.MAX_SENDS
-            and self.left_ms() > forwarding.MIN_LEFT_MS
+            and self.left_ms() > forwarding.MIN_REMAINING_MS
             and self.gateway.has_other(self.service, send.member)
         )
         if may_retry and self.gateway.budget(self.service).can_spend(
--- a/packages/radishstack/src/radishstack/request/exchange.py
+++ b/packages/radishstack/src/radishstack/request/exchange.py
@@ -1,8 +1,8 @@
-"""One caller's request at an entry daemon, from its tries to its answer.
+"""Decides the retries and the reply of one request at an entry daemon.
 
-Which reply is right depends on what is proven. A refusal by a target process
-proves that the attempt did not run; a connection that never opened proves it
-too; a lost connection proves nothing.
+The reply depends on whether the request is proven not to have run. A rejection
+by a target process proves it, and so does a connection that was never opened.
+A lost connection proves nothing.
 """
 
 import dataclasses
@@ -16,30 +16,30 @@
 
 MAX_TRIES = 4
 MAX_RESUMES = 8
-RETRY_SOON_MS = 500
-MIN_LEFT_MS = 5
+DEFAULT_RETRY_AFTER_MS = 500
+MIN_REMAINING_MS = 5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
-    """The target process refused the attempt."""
+class Rejected:
+    """The target process rejected the attempt."""
 
     failure: result.Failure
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unsent:
+class ConnectFailed:
     """No connection to the target process could be opened."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
-    """The connection was cut after the attempt was sent."""
+class ConnectionLost:
+    """The connection was lost after the attempt was sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Started:
-    """The target answered; its chunks follow."""
+class ResponseStarted:
+    """The head of the response arrived; its chunks follow."""
 
     status: int
     content_type: str
@@ -47,8 +47,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrived:
-    """A chunk has come."""
+class ChunkArrived:
+    """A chunk arrived."""
 
     number: int
     payload: bytes
@@ -56,31 +56,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndArrived:
-    """The explicit end has come."""
+    """The explicit end of the response arrived."""
 
     total: int
     failure: result.Failure | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Expired:
-    """The caller's deadline has passed."""
+class DeadlineExpired:
+    """The caller's deadline passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerLeft:
-    """The caller has closed its connection."""
+class CallerDisconnected:
+    """The caller closed its connection."""
 
 
 Event = (
-    Refused
-    | Unsent
-    | Lost
-    | Started
-    | Arrived
+    Rejected
+    | ConnectFailed
+    | ConnectionLost
+    | ResponseStarted
+    | ChunkArrived
     | EndArrived
-    | Expired
-    | CallerLeft
+    | DeadlineExpired
+    | CallerDisconnected
 )
 
 
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resume:
-    """Attach to the same attempt again, from a chunk on."""
+    """Attach to the same attempt again, starting at a given chunk."""
 
     target: str
     next_number: int
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rehome:
-    """Find the home of the key in a newer version and call ``rehomed``."""
+    """Find the key's home in a newer configuration and call ``rehomed``."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -111,8 +111,8 @@
     Attributes:
         status: HTTP status.
         content_type: Content type.
-        target: Which target answers.
-        adapter: What it ran, ``name@version``.
+        target: Target that answers.
+        adapter: Adapter that it ran, ``name@version``.
     """
 
     status: int
@@ -122,27 +122,27 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forward:
-    """Send the caller a piece of the answer."""
+class ForwardChunk:
+    """Send the caller a chunk of the response."""
 
     payload: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finish:
-    """The answer is whole."""
+    """End the complete response."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
-    """Answer the caller with a failure; in mid-answer, end it as cut."""
+class ReplyFailure:
+    """Answer with a failure; abort a response that has already begun."""
 
     failure: result.Failure
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Tell the target process that nobody reads any more."""
+    """Cancel the attempt at the target process."""
 
 
 Action = (
@@ -150,16 +150,16 @@
     | Resume
     | Rehome
     | ForwardHead
-    | Forward
+    | ForwardChunk
     | Finish
-    | Reply
+    | ReplyFailure
     | CancelAttempt
 )
 Actions = list[Action]
 
 
 class Exchange:
-    """The state of one request."""
+    """The state machine of one request."""
 
     def __init__(
         self,
@@ -169,12 +169,12 @@
         *,
         deadline_at_ms: int,
     ) -> None:
-        """Starts a request.
+        """Initializes a request.
 
         Args:
-            resolution: What it asks for.
+            resolution: What the request was resolved to.
             candidates: Targets to try, the best first.
-            budget: The daemon's retries.
+            budget: Retry budget of the daemon.
             deadline_at_ms: When the caller stops waiting.
         """
         self.resolution = resolution
@@ -193,7 +193,7 @@
 
     @property
     def keyed(self) -> bool:
-        """Whether it may run at most once."""
+        """Whether an idempotency key limits it to one run."""
         return bool(self.resolution.key)
 
     def start(self) -> Actions:
@@ -205,18 +205,18 @@
         """Handles an event.
 
         Args:
-            event: What happened.
+            event: The event.
             now_ms: Monotonic clock.
 
         Returns:
-            What to do, in order; empty once the request is done.
+            The actions to perform, in order; none once the request is done.
         """
         if self.done:
             return []
         return _handle(event, self, now_ms)
 
     def rehomed(self, candidates: list[str], now_ms: int) -> Actions:
-        """Continues with the home of the key in a newer version, if any."""
+        """Continues at the key's home in a newer configuration, if any."""
         if self.done:
             return []
         if not candidates:
@@ -231,7 +231,7 @@
                 or result.Failure(
                     result.NO_TARGET,
                     f"no target of {self.resolution.service.name} is usable",
-                    RETRY_SOON_MS,
+                    DEFAULT_RETRY_AFTER_MS,
                 )
             )
         self.target = self.untried.pop(0)
@@ -240,18 +240,18 @@
         return [Send(self.target)]
 
     def _retry(self, failure: result.Failure, now_ms: int) -> Actions:
-        """Tries the next candidate, if there is one and it is allowed."""
+        """Tries the next candidate if there is one and retries are allowed."""
         self.last_failure = failure
         if not self.untried or self.tries >= MAX_TRIES:
             return self._reply(failure)
-        if now_ms + MIN_LEFT_MS >= self.deadline_at_ms:
+        if now_ms + MIN_REMAINING_MS >= self.deadline_at_ms:
             return self._reply(failure)
         if not self.budget.spend():
             return self._reply(
                 result.Failure(
                     result.RETRIES_EXHAUSTED,
                     f"{failure.message}; this entry has no retries left",
-                    failure.retry_after_ms or RETRY_SOON_MS,
+                    failure.retry_after_ms or DEFAULT_RETRY_AFTER_MS,
                     failure.proof,
                 )
             )
@@ -261,17 +261,18 @@
         invariant.require(not self.done, result.REPLY_TWICE, failure.message)
         self.done = True
         if self.may_have_run and failure.executed is result.Executed.NO:
-            # The last try did not run, but an earlier one was lost.
+            # The last attempt did not run, but the connection of an earlier
+            # one was lost, and that attempt may have run.
             failure = dataclasses.replace(
                 failure, proof=result.Executed.UNKNOWN
             )
-        return [Reply(failure)]
+        return [ReplyFailure(failure)]
 
-    def unproven(self, failure: result.Failure) -> result.Failure:
-        """Marks a failure of the entry's own making.
+    def as_unproven(self, failure: result.Failure) -> result.Failure:
+        """Removes the proof of "not run" if the request is keyed.
 
-        Only the ledger of its home can say that a key did not run; an
-        earlier copy of a keyed request may have.
+        Only the ledger of the key's home can prove that a key did not run. An
+        earlier copy of a keyed request may have run.
         """
         if self.keyed and failure.executed is result.Executed.NO:
             return dataclasses.replace(failure, proof=result.Executed.UNKNOWN)
@@ -284,31 +285,33 @@
 
 
 @_handle.register
-def _refused(event: Refused, exchange: Exchange, now_ms: int) -> Actions:
+def _rejected(event: Rejected, exchange: Exchange, now_ms: int) -> Actions:
     failure = event.failure
     if exchange.head_sent:
-        return exchange._reply(_cut(failure.message))
+        return exchange._reply(_answer_cut(failure.message))
     if exchange.keyed:
         if failure.code is result.NOT_HOME and exchange.rehomes == 0:
             exchange.rehomes += 1
             exchange.last_failure = failure
             return [Rehome()]
         return exchange._reply(failure)
-    if failure.code.elsewhere and failure.executed is result.Executed.NO:
+    if failure.code.retry_elsewhere and failure.executed is result.Executed.NO:
         return exchange._retry(failure, now_ms)
     return exchange._reply(failure)
 
 
 @_handle.register
-def _unsent(event: Unsent, exchange: Exchange, now_ms: int) -> Actions:
+def _connect_failed(
+    event: ConnectFailed, exchange: Exchange, now_ms: int
+) -> Actions:
     del event
-    failure = exchange.unproven(
+    failure = exchange.as_unproven(
         result.Failure(
             result.HOME_UNREACHABLE
             if exchange.keyed
             else result.TARGET_UNREACHABLE,
             f"{exchange.target} cannot be reached",
-            RETRY_SOON_MS,
+            DEFAULT_RETRY_AFTER_MS,
         )
     )
     if exchange.keyed:
@@ -317,7 +320,9 @@
 
 
 @_handle.register
-def _lost(event: Lost, exchange: Exchange, now_ms: int) -> Actions:
+def _connection_lost(
+    event: ConnectionLost, exchange: Exchange, now_ms: int
+) -> Actions:
     del event
     exchange.resumes += 1
     if exchange.resumes <= MAX_RESUMES and now_ms < exchange.deadline_at_ms:
@@ -326,25 +331,25 @@
 
 
 def resume_failed(exchange: Exchange, now_ms: int) -> Actions:
-    """Goes on after the run could not be found or reached again.
+    """Handles a run that could not be found or reached again.
 
     Args:
         exchange: The request.
         now_ms: Monotonic clock.
 
     Returns:
-        Another try where running twice is allowed and nothing of the answer
-        went out; otherwise the truth, that the outcome is unknown.
+        A retry if the request may run twice and no part of the response was
+        sent; otherwise a reply that the outcome is unknown.
     """
     if exchange.done:
         return []
     if exchange.head_sent:
-        return exchange._reply(_cut(f"{exchange.target} was lost"))
+        return exchange._reply(_answer_cut(f"{exchange.target} was lost"))
     failure = result.Failure(
         result.OUTCOME_UNKNOWN,
         f"{exchange.target} was lost while it had the request; whether it ran "
         "is not known",
-        RETRY_SOON_MS,
+        DEFAULT_RETRY_AFTER_MS,
     )
     if exchange.keyed:
         return exchange._reply(failure)
@@ -352,22 +357,26 @@
     return exchange._retry(failure, now_ms)
 
 
-def _cut(reason: str) -> result.Failure:
+def _answer_cut(reason: str) -> result.Failure:
     return result.Failure(
-        result.ANSWER_CUT, f"the answer was cut: {reason}", RETRY_SOON_MS
+        result.ANSWER_CUT,
+        f"the answer was cut: {reason}",
+        DEFAULT_RETRY_AFTER_MS,
     )
 
 
 @_handle.register
-def _started(event: Started, exchange: Exchange, now_ms: int) -> Actions:
+def _response_started(
+    event: ResponseStarted, exchange: Exchange, now_ms: int
+) -> Actions:
     del now_ms
     if exchange.head_sent:
         return []
-    wanted = exchange.resolution.adapter
-    if event.adapter != wanted and not exchange.keyed:
+    expected = exchange.resolution.adapter
+    if event.adapter != expected and not exchange.keyed:
         failure = result.Failure(
             result.WRONG_ADAPTER,
-            f"{exchange.target} ran {event.adapter!r} instead of {wanted!r}",
+            f"{exchange.target} ran {event.adapter!r} instead of {expected!r}",
         )
         return [CancelAttempt(), *exchange._reply(failure)]
     exchange.head_sent = True
@@ -379,50 +388,64 @@
 
 
 @_handle.register
-def _arrived(event: Arrived, exchange: Exchange, now_ms: int) -> Actions:
+def _chunk_arrived(
+    event: ChunkArrived, exchange: Exchange, now_ms: int
+) -> Actions:
     del now_ms
     if not exchange.head_sent:
-        return [CancelAttempt(), *exchange._reply(_cut("its head is missing"))]
+        return [
+            CancelAttempt(),
+            *exchange._reply(_answer_cut("its head is missing")),
+        ]
     match exchange.sequence.take(event.number):
         case sequence.Verdict.TAKE:
-            return [Forward(event.payload)]
+            return [ForwardChunk(event.payload)]
         case sequence.Verdict.SKIP:
             return []
-    return [CancelAttempt(), *exchange._reply(_cut("a chunk is missing"))]
+    return [
+        CancelAttempt(),
+        *exchange._reply(_answer_cut("a chunk is missing")),
+    ]
 
 
 @_handle.register
 def _end_arrived(event: EndArrived, exchange: Exchange, now_ms: int) -> Actions:
-    whole = exchange.sequence.end(event.total)
+    is_complete = exchange.sequence.end(event.total)
     if event.failure is not None:
         if not exchange.head_sent and not exchange.keyed:
-            # Nothing of the answer went out, and running twice is allowed.
+            # No part of the response was sent, and it may run twice.
             if event.failure.executed is not result.Executed.NO:
                 exchange.may_have_run = True
             return exchange._retry(event.failure, now_ms)
         return exchange._reply(event.failure)
-    if not whole or not exchange.head_sent:
-        return exchange._reply(_cut("a part of it is missing at its end"))
+    if not is_complete or not exchange.head_sent:
+        return exchange._reply(
+            _answer_cut("a part of it is missing at its end")
+        )
     exchange.done = True
     return [Finish()]
 
 
 @_handle.register
-def _expired(event: Expired, exchange: Exchange, now_ms: int) -> Actions:
+def _deadline_expired(
+    event: DeadlineExpired, exchange: Exchange, now_ms: int
+) -> Actions:
     del event, now_ms
     if exchange.head_sent:
-        failure = _cut("its deadline passed")
+        failure = _answer_cut("its deadline passed")
     else:
         failure = result.Failure(
             result.OUTCOME_UNKNOWN,
             "the deadline passed before the target answered",
-            RETRY_SOON_MS,
+            DEFAULT_RETRY_AFTER_MS,
         )
     return [CancelAttempt(), *exchange._reply(failure)]
 
 
 @_handle.register
-def _caller_left(event: CallerLeft, exchange: Exchange, now_ms: int) -> Actions:
+def _caller_disconnected(
+    event: CallerDisconnected, exchange: Exchange, now_ms: int
+) -> Actions:
     del event, now_ms
     exchange.done = True
     return [CancelAttempt()]
--- a/packages/radishstack/src/radishstack/request/forwarding.py
+++ b/packages/radishstack/src/radishstack/request/forwarding.py
@@ -1,8 +1,8 @@
-"""What follows when a send of a forwarded request has come to nothing.
+"""Decides whether and where a forwarded request is sent again.
 
-The rule that everything else bends to: a request that may have run is sent
-again only if its route allows it to run twice. What proves that it has not
-run is a connection that was never opened, or the target's own word.
+The rule above all others: a request that may have run is sent again only if
+its route allows it to run twice. Only two things prove that a request did not
+run: the connection was never opened, or the target states it.
 """
 
 import dataclasses
@@ -12,16 +12,27 @@
 from radishstack import result
 from radishstack.version import route_table
 
-# Sends that never reached a target; each costs one connect timeout at most.
-MAX_UNSENT = 3
-# Sends in all of one attempt, those with proof that nothing ran included.
+# Each failed connect costs at most one connect timeout.
+MAX_FAILED_CONNECTS = 3
+# Includes sends that are proven not to have run.
 MAX_SENDS = 4
-# With less than this left, another send cannot be answered in time.
-MIN_LEFT_MS = 60
+# With less time remaining, another send cannot be answered in time.
+MIN_REMAINING_MS = 60
 
 
 class Outcome(enum.Enum):
-    """How a send ended."""
+    """How a send ended; the values are log and metric labels.
+
+    Attributes:
+        UNSENT: The connection could not be opened.
+        SHED: The target rejected the request because of its load.
+        MISMATCH: The target rejected the request as misdirected.
+        GONE: Another incarnation of the target rejected the request.
+        LOST: The connection was lost before the response was complete.
+        SPOILED: The response was invalid or too large.
+        SILENT: The response stalled.
+        FAILED: The target answered with a failure.
+    """
 
     UNSENT = "unsent"
     SHED = "shed"
@@ -33,7 +44,7 @@
     FAILED = "failed"
 
 
-_UNPROVEN = frozenset(
+_MAY_HAVE_RUN = frozenset(
     {Outcome.LOST, Outcome.SPOILED, Outcome.SILENT, Outcome.FAILED}
 )
 _CODES = {
@@ -49,7 +60,7 @@
 
 
 class Step(enum.Enum):
-    """What to do next; ``Forwarding.allows`` says where it may be sent."""
+    """The next step; ``Forwarding.allows`` checks each possible target."""
 
     SEND_AGAIN = "send_again"
     SEND_LATER = "send_later"
@@ -61,25 +72,25 @@
     """The sends of one attempt.
 
     Attributes:
-        route: Its route.
-        may_have_run: Whether a send may have run it.
-        unsent: Sends that never reached a target.
-        sends: Sends that reached one.
-        reached: Instances that were sent to.
-        avoided: Instances not to be chosen again.
-        failure: Why it is given up, if it is.
+        route: The route of the request.
+        may_have_run: Whether a target may have run the request.
+        failed_connects: How many connections could not be opened.
+        sends: How many times the request was sent to a target.
+        reached: Instances that the request was sent to.
+        excluded: Instances not to be chosen again.
+        failure: Why the request failed, None as long as it has not.
     """
 
     route: route_table.Route
     may_have_run: bool = False
-    unsent: int = 0
+    failed_connects: int = 0
     sends: int = 0
     reached: set[str] = dataclasses.field(default_factory=set)
-    avoided: set[str] = dataclasses.field(default_factory=set)
+    excluded: set[str] = dataclasses.field(default_factory=set)
     failure: result.Failure | None = None
 
-    def sending(self, instance: str) -> None:
-        """Notes a send, just before its first byte leaves."""
+    def record_send(self, instance: str) -> None:
+        """Records a send, just before its first byte is sent."""
         invariant.require(
             self.allows(instance),
             result.SENT_AFTER_POSSIBLE_RUN,
@@ -95,12 +106,12 @@
 
     @property
     def may_use_another(self) -> bool:
-        """Whether a target that was not reached yet may be sent to."""
+        """Whether the request may be sent to one more target."""
         return len(self.reached) < self.route.max_targets
 
     def allows(self, instance: str) -> bool:
-        """Whether it may be sent to a target next."""
-        if instance in self.avoided:
+        """Whether the request may be sent to a target next."""
+        if instance in self.excluded:
             return False
         return self.may_use_another or instance in self.reached
 
@@ -110,53 +121,57 @@
         outcome: Outcome,
         left_ms: int,
         *,
-        paid: bool,
+        retry_allowed: bool,
         begun: bool = False,
     ) -> Step:
-        """Decides what follows the end of a send.
+        """Decides the next step after a send ended.
 
         Args:
-            instance: Where it went.
-            outcome: How it ended.
-            left_ms: Time that the caller still has.
-            paid: Whether the retry budget allows another send.
-            begun: Whether the caller has a part of the answer.
+            instance: Instance that the request was sent to.
+            outcome: How the send ended.
+            left_ms: Time until the caller's deadline.
+            retry_allowed: Whether the retry budget allows another send.
+            begun: Whether the caller has received a part of the response.
 
         Returns:
-            The next step; ``failure`` is set when it is to give up.
+            The next step; ``failure`` is set if it is ``GIVE_UP``.
         """
         if outcome is Outcome.UNSENT:
-            self.unsent += 1
-            self.avoided.add(instance)
-            if self.unsent <= MAX_UNSENT and left_ms > MIN_LEFT_MS:
+            self.failed_connects += 1
+            self.excluded.add(instance)
+            if (
+                self.failed_connects <= MAX_FAILED_CONNECTS
+                and left_ms > MIN_REMAINING_MS
+            ):
                 return Step.SEND_AGAIN
-            return self._give_up(outcome)
+            return self._fail(outcome)
         if outcome is Outcome.GONE:
-            # That start of the target is over, so the request is free to go
-            # to another, as if this send had not been.
+            # That incarnation of the target has ended, so this send does not
+            # count against the number of targets that the route allows.
             self.reached.discard(instance)
-            self.avoided.add(instance)
-        if outcome in _UNPROVEN:
+            self.excluded.add(instance)
+        if outcome in _MAY_HAVE_RUN:
             self.may_have_run = True
         if self.may_have_run and not self.route.repeatable:
-            return self._give_up(outcome)
-        exhausted = self.sends >= MAX_SENDS or left_ms <= MIN_LEFT_MS
-        if exhausted or not paid:
-            return self._give_up(outcome)
+            return self._fail(outcome)
+        exhausted = self.sends >= MAX_SENDS or left_ms <= MIN_REMAINING_MS
+        if exhausted or not retry_allowed:
+            return self._fail(outcome)
         if self.may_use_another:
-            self.avoided.add(instance)
+            self.excluded.add(instance)
             return Step.SEND_AGAIN
         if begun:
-            # There is no refusal any more: cut here, all that the caller has
-            # is lost. A target that was reached before may go on with it
-            # while this one is full or gone.
-            self.avoided = {instance} if len(self.reached) > 1 else set()
+            # A response that has begun can no longer be rejected, and if it
+            # were cut here, the part that the caller has would be lost. A
+            # target that was reached before may resume it while this one is
+            # full or gone.
+            self.excluded = {instance} if len(self.reached) > 1 else set()
             return Step.SEND_LATER
         if outcome is Outcome.MISMATCH:
             return Step.SEND_AGAIN
-        return self._give_up(outcome)
+        return self._fail(outcome)
 
-    def _give_up(self, outcome: Outcome) -> Step:
+    def _fail(self, outcome: Outcome) -> Step:
         code = _CODES[outcome]
         if self.may_have_run and code.executed is result.Executed.NO:
             code = result.OUTCOME_UNKNOWN
@@ -165,8 +180,8 @@
         )
         return Step.GIVE_UP
 
-    def timed_out(self, *, sent: bool) -> result.Failure:
-        """Returns the failure of a request whose time is up."""
+    def timeout_failure(self, *, sent: bool) -> result.Failure:
+        """Returns the failure of a request whose deadline passed."""
         if sent or self.may_have_run:
             return result.Failure(
                 result.ROUTE_TIMEOUT, "the target had not answered in time"
--- a/packages/radishstack/src/radishstack/request/resolve.py
+++ b/packages/radishstack/src/radishstack/request/resolve.py
@@ -1,4 +1,4 @@
-"""What a request asks for, resolved once against one version."""
+"""Resolves a request against one configuration version."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -14,17 +14,17 @@
 
 MAX_KEY_CHARS = 256
 MAX_CANDIDATES = 48
-_SHARE_RANGE = 2**64
+_HASH_RANGE = 2**64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resolution:
-    """A request's answer to "which", fixed for its whole life.
+    """The service, adapter and targets of a request, fixed once resolved.
 
     Attributes:
         version: The configuration version it was resolved against.
         service: The service.
-        customer: The customer.
+        customer: The customer that the service belongs to.
         adapter: ``name@version``, empty for a plain service.
         candidates: Targets in the order to try; for a keyed request only
             its home.
@@ -42,8 +42,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
-    """What the caller sent, as far as it decides where the request goes.
+class RoutingFields:
+    """The fields of a request that determine where it is sent.
 
     Attributes:
         request_id: Unique id of the request.
@@ -62,28 +62,30 @@
     headers: Mapping[str, str]
 
 
-def resolve(asked: Asked, held: holder_lib.Held) -> result.Outcome[Resolution]:
+def resolve(
+    fields: RoutingFields, held: holder_lib.Held
+) -> result.Outcome[Resolution]:
     """Resolves a request against one version.
 
     Args:
-        asked: What the caller sent.
+        fields: The routing fields of the request.
         held: The version, held until the request ends.
 
     Returns:
-        The resolution, or the numbered reason why there is none.
+        The resolution, or why the request cannot be resolved.
     """
     document = held.document
-    if asked.service:
-        picked = _pick_plain(asked.service, document)
+    if fields.service:
+        selection = _select_plain(fields.service, document)
     else:
-        picked = _pick_model(asked, document)
-    if isinstance(picked, result.Failure):
-        return picked
-    service, adapter = picked
-    timeout_ms = _timeout(asked.timeout_text, service)
+        selection = _select_model(fields, document)
+    if isinstance(selection, result.Failure):
+        return selection
+    service, adapter = selection
+    timeout_ms = _parse_timeout(fields.timeout_text, service)
     if isinstance(timeout_ms, result.Failure):
         return timeout_ms
-    key = _key(asked.key, service)
+    key = _parse_key(fields.key, service)
     if isinstance(key, result.Failure):
         return key
     return Resolution(
@@ -103,8 +105,9 @@
     """Orders a service's configured targets for a request.
 
     A keyed request has one candidate, its home. The home depends only on the
-    configured targets, never on which are alive: another entry daemon with
-    another view must send a resubmission to the same ledger.
+    configured targets, never on which of them are alive: another entry daemon
+    may see other targets alive, but must send a resubmission of the key to the
+    same ledger.
 
     Args:
         service: The service.
@@ -112,7 +115,7 @@
         key: Idempotency key, empty if there is none.
 
     Returns:
-        Target names, the first choice first.
+        Target names, the preferred ones first.
     """
     if key:
         return (home_of(service.name, key, service.targets),)
@@ -130,16 +133,16 @@
 
 
 def body_digest(body: bytes) -> bytes:
-    """Returns the digest that tells bodies of the same key apart."""
+    """Returns a digest that detects different bodies under the same key."""
     return hashlib.sha256(body).digest()[:16]
 
 
-Picked = tuple[document_lib.Service, str]
+_Selection = tuple[document_lib.Service, str]
 
 
-def _pick_plain(
+def _select_plain(
     name: str, document: document_lib.Document
-) -> result.Outcome[Picked]:
+) -> result.Outcome[_Selection]:
     service = document.services.get(name)
     if service is None:
         return result.Failure(
@@ -154,13 +157,13 @@
     return service, ""
 
 
-def _pick_model(
-    asked: Asked, document: document_lib.Document
-) -> result.Outcome[Picked]:
-    service = document.services.get(asked.model)
+def _select_model(
+    fields: RoutingFields, document: document_lib.Document
+) -> result.Outcome[_Selection]:
+    service = document.services.get(fields.model)
     if service is not None:
-        return _pick_by_rule(asked, service, document)
-    name, separator, version_text = asked.model.partition("@")
+        return _select_by_rule(fields, service, document)
+    name, separator, version_text = fields.model.partition("@")
     adapter = document.adapters.get(name)
     if adapter is None:
         return result.Failure(
@@ -173,14 +176,14 @@
         if not version_text.isdecimal():
             return _version_unknown(name, version_text)
         version = int(version_text)
-    return _pick_adapter(adapter, version, document)
+    return _select_adapter(adapter, version, document)
 
 
-def _pick_by_rule(
-    asked: Asked,
+def _select_by_rule(
+    fields: RoutingFields,
     service: document_lib.Service,
     document: document_lib.Document,
-) -> result.Outcome[Picked]:
+) -> result.Outcome[_Selection]:
     if service.kind is not document_lib.ServiceKind.MODEL:
         return result.Failure(
             result.SERVICE_KIND_WRONG,
@@ -188,10 +191,10 @@
             f"/v1/services/{service.name}/",
         )
     for rule in document_lib.rules_of(document, service.name):
-        if _matches(rule, asked):
+        if _matches(rule, fields):
             adapter = document.adapters[rule.adapter]
             version = adapter.current if rule.version is None else rule.version
-            return _pick_adapter(adapter, version, document)
+            return _select_adapter(adapter, version, document)
     if service.adapter is None:
         return result.Failure(
             result.MODEL_UNKNOWN,
@@ -199,29 +202,29 @@
             "own; name an adapter",
         )
     adapter = document.adapters[service.adapter]
-    return _pick_adapter(adapter, adapter.current, document)
+    return _select_adapter(adapter, adapter.current, document)
 
 
-def _matches(rule: document_lib.Rule, asked: Asked) -> bool:
-    headers = asked.headers
+def _matches(rule: document_lib.Rule, fields: RoutingFields) -> bool:
+    headers = fields.headers
     if rule.header is not None and headers.get(rule.header) != rule.equals:
         return False
     if rule.share >= 1.0:
         return True
-    # A keyed request must take the same side when it is sent again.
-    identity = asked.key or asked.request_id
-    drawn = (
+    # A keyed request must match the same rules when it is sent again.
+    identity = fields.key or fields.request_id
+    hash_fraction = (
         xxhash.xxh3_64_intdigest(f"{rule.name}/{identity}".encode())
-        / _SHARE_RANGE
+        / _HASH_RANGE
     )
-    return drawn < rule.share
+    return hash_fraction < rule.share
 
 
-def _pick_adapter(
+def _select_adapter(
     adapter: document_lib.Adapter,
     version: int,
     document: document_lib.Document,
-) -> result.Outcome[Picked]:
+) -> result.Outcome[_Selection]:
     if all(entry.version != version for entry in adapter.versions):
         return _version_unknown(adapter.name, str(version))
     service = document.services[adapter.service]
@@ -235,7 +238,9 @@
     )
 
 
-def _timeout(text: str, service: document_lib.Service) -> result.Outcome[int]:
+def _parse_timeout(
+    text: str, service: document_lib.Service
+) -> result.Outcome[int]:
     if not text:
         return service.timeout_ms
     if not (text.isascii() and text.isdecimal()) or int(text) < 1:
@@ -254,7 +259,7 @@
     return timeout_ms
 
 
-def _key(text: str, service: document_lib.Service) -> result.Outcome[str]:
+def _parse_key(text: str, service: document_lib.Service) -> result.Outcome[str]:
     if service.idempotent:
         return ""
     if not text:
--- a/packages/radishstack/src/radishstack/target.py
+++ b/packages/radishstack/src/radishstack/target.py
@@ -1,7 +1,7 @@
-"""All decisions of one target process, at one place, on one loop.
+"""State machine that makes all decisions of one target process on one loop.
 
-Events and a time go in, actions come out. Nothing here waits, reads a clock
-or writes to a socket; the same code runs in production, under Hypothesis and
+It maps an event and a time to actions. Nothing here waits, reads a clock or
+writes to a socket, so the same code runs in production, under Hypothesis and
 in virtual time.
 """
 
@@ -19,23 +19,23 @@
 TargetSettings = state_lib.TargetSettings
 Actions = state_lib.Actions
 
-_RUN_IS_OVER = result.Failure(
+_RUN_FINISHED = result.Failure(
     result.RUN_UNKNOWN, "this attempt has run and its answer is gone"
 )
 
 
 class Target(state_lib.TargetState):
-    """The machine of one target process."""
+    """The state machine of one target process."""
 
     def handle(self, event: event_lib.Event, now_ms: int) -> Actions:
         """Handles an event.
 
         Args:
-            event: What happened.
-            now_ms: Monotonic clock, not before that of the last event.
+            event: The event.
+            now_ms: Monotonic clock, not before the time of the last event.
 
         Returns:
-            What to do, in order.
+            The actions to perform, in order.
         """
         actions: Actions = []
         _handle(event, self, now_ms, actions)
@@ -58,18 +58,21 @@
 
 
 @_handle.register
-def _priors_answered(
-    event: event_lib.PriorsAnswered,
+def _prior_homes_answered(
+    event: event_lib.PriorHomesAnswered,
     target: Target,
     now_ms: int,
     actions: Actions,
 ) -> None:
-    target_admission.answer_priors(target, event, now_ms, actions)
+    target_admission.handle_prior_homes_answer(target, event, now_ms, actions)
 
 
 @_handle.register
-def _seal_asked(
-    event: event_lib.SealAsked, target: Target, now_ms: int, actions: Actions
+def _seal_requested(
+    event: event_lib.SealRequested,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     service = target.service(event.key[0])
     window_ms = (
@@ -91,11 +94,12 @@
     waiting = target.queue.remove(event.attempt_id)
     if waiting is not None:
         attempt = target.attempts[event.attempt_id]
-        state_lib.refuse_claimed(target, attempt, failure, now_ms, actions)
+        state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
         return
     running = target.running.get(event.attempt_id)
-    # Half of a booking is worse than a booking nobody reads: what must not
-    # run twice runs to its end, and its answer is kept for the key.
+    # A half-done operation is worse than one whose response nobody reads, so a
+    # request that must not run twice completes. Its response is kept for the
+    # key.
     if running is None or running.attempt.key or running.cancelled:
         return
     running.cancelled = True
@@ -127,7 +131,7 @@
         target.forecast.retry_after_ms(backoff.until_ms - now_ms),
     )
     for waiting in target.queue.waiting_for(event.adapter):
-        state_lib.refuse_waiting(target, waiting, failure, now_ms, actions)
+        state_lib.reject_waiting(target, waiting, failure, now_ms, actions)
 
 
 @_handle.register
@@ -152,8 +156,11 @@
 
 
 @_handle.register
-def _engine_seen(
-    event: event_lib.EngineSeen, target: Target, now_ms: int, actions: Actions
+def _engine_observed(
+    event: event_lib.EngineObserved,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     del actions
     target.engine_up = True
@@ -181,12 +188,15 @@
         target.forecast.retry_after_ms(target_admission.COLD_RETRY_MS),
     )
     for waiting in target.queue:
-        state_lib.refuse_waiting(target, waiting, failure, now_ms, actions)
+        state_lib.reject_waiting(target, waiting, failure, now_ms, actions)
 
 
 @_handle.register
-def _reported(
-    event: event_lib.Reported, target: Target, now_ms: int, actions: Actions
+def _adapter_reported(
+    event: event_lib.AdapterReported,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     del now_ms
     running = target.running.get(event.attempt_id)
@@ -215,7 +225,7 @@
     if running.grant is not None:
         target.residency.release(running.grant)
     if not running.cancelled:
-        target.forecast.observe_run(now_ms - running.since_ms)
+        target.forecast.observe_run(now_ms - running.dispatched_at_ms)
     if attempt.key:
         key = (attempt.service, attempt.key)
         if event.ran:
@@ -223,14 +233,14 @@
         else:
             target.ledger.withdraw(key, now_ms)
     else:
-        state_lib.close_attempt(target, attempt.attempt_id, _RUN_IS_OVER)
+        state_lib.close_attempt(target, attempt.attempt_id, _RUN_FINISHED)
     if not event.ran and running.grant is not None:
         target.residency.missing(running.grant)
 
 
 @_handle.register
-def _leaving_learned(
-    event: event_lib.LeavingLearned,
+def _drain_requested(
+    event: event_lib.DrainRequested,
     target: Target,
     now_ms: int,
     actions: Actions,
@@ -242,16 +252,20 @@
     failure = result.Failure(
         result.TARGET_LEAVING,
         f"{target.settings.name} is leaving",
-        target_admission.LEAVING_RETRY_MS,
+        target_admission.SHORT_RETRY_MS,
     )
-    # What has not started goes elsewhere at once; what runs, ends here.
+    # Queued attempts are sent to other targets at once; running ones finish
+    # here.
     for waiting in target.queue:
-        state_lib.refuse_waiting(target, waiting, failure, now_ms, actions)
+        state_lib.reject_waiting(target, waiting, failure, now_ms, actions)
 
 
 @_handle.register
-def _version_held(
-    event: event_lib.VersionHeld, target: Target, now_ms: int, actions: Actions
+def _version_activated(
+    event: event_lib.VersionActivated,
+    target: Target,
+    now_ms: int,
+    actions: Actions,
 ) -> None:
     del now_ms, actions
     if event.held.version <= target.held.version:
@@ -263,11 +277,12 @@
     for service in document.services.values():
         for adapter_name in service.warm:
             adapter = document.adapters[adapter_name]
-            exact = f"{adapter.name}@{adapter.current}"
-            order = rendezvous.order(exact, service.targets)
+            adapter_version = f"{adapter.name}@{adapter.current}"
+            order = rendezvous.order(adapter_version, service.targets)
             if name in order[: service.warm_targets]:
-                warm.add(exact)
-    # One slot stays free of warm adapters, or no other could ever be loaded.
+                warm.add(adapter_version)
+    # With more than one adapter slot, one stays free of warm adapters, or no
+    # other adapter could ever be loaded.
     keep = max(1, target.settings.slot_count - 1)
     target.warm = frozenset(sorted(warm)[:keep])
 
@@ -277,9 +292,9 @@
     event: event_lib.Ticked, target: Target, now_ms: int, actions: Actions
 ) -> None:
     del event
-    forgotten = target.ledger.expire(now_ms)
-    if forgotten:
-        actions.append(event_lib.Forget(tuple(forgotten)))
+    expired_ids = target.ledger.expire(now_ms)
+    if expired_ids:
+        actions.append(event_lib.DropAnswers(tuple(expired_ids)))
     for waiting in target.queue:
         _expire_waiting(target, waiting, now_ms, actions)
 
@@ -290,7 +305,7 @@
     now_ms: int,
     actions: Actions,
 ) -> None:
-    """Answers as soon as a deadline cannot be met, not when it has passed."""
+    """Rejects an attempt once its deadline cannot be met, before it passes."""
     left_ms = waiting.deadline_at_ms - now_ms
     needed_ms = target.load_delay_ms(waiting.adapter, now_ms)
     if left_ms > 0 and needed_ms < left_ms:
@@ -304,4 +319,4 @@
         ),
     )
     attempt = target.attempts[waiting.attempt_id]
-    state_lib.refuse_claimed(target, attempt, failure, now_ms, actions)
+    state_lib.reject_claimed(target, attempt, failure, now_ms, actions)
--- a/packages/radishstack/src/radishstack/target_state.py
+++ b/packages/radishstack/src/radishstack/target_state.py
@@ -1,4 +1,4 @@
-"""What a target process knows: the state that its decisions share."""
+"""The state of a target process that its decisions share."""
 
 import collections
 import dataclasses
@@ -20,23 +20,23 @@
 from radishstack.version import document as document_lib
 from radishstack.version import holder as holder_lib
 
-CLOSED_KEEP = 65_536
+MAX_CLOSED_ATTEMPTS = 65_536
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetSettings:
-    """What a target process knows of its target from its settings.
+    """Settings of a target process.
 
     Attributes:
         name: Name of the target in the document.
         kind: Engine or plain service.
         slot_count: Adapter slots of the engine.
-        max_running: Attempts that run at once.
-        max_queued: Bound on queued attempts.
-        max_parallel_loads: Loads the engine is asked for at once.
-        quarantine_ms: How long after its start unknown keys are not run.
-        first_order: Fencing number before the first order; above those of
-            any earlier process in the same slot.
+        max_running: Maximum number of running attempts.
+        max_queued: Maximum number of queued attempts.
+        max_parallel_loads: Maximum number of parallel loads at the engine.
+        quarantine_ms: How long after the start unknown keys are not run.
+        first_order: Initial fencing number, above those of any earlier process
+            in the same slot.
     """
 
     name: str
@@ -56,13 +56,13 @@
     Attributes:
         attempt: The attempt.
         grant: Its grant, None at a plain service.
-        since_ms: When it was dispatched.
-        cancelled: Whether it was told to stop.
+        dispatched_at_ms: When it was dispatched.
+        cancelled: Whether its cancellation was requested.
     """
 
     attempt: attempt_lib.Attempt
     grant: residency_lib.Grant | None
-    since_ms: int
+    dispatched_at_ms: int
     cancelled: bool = False
 
 
@@ -70,7 +70,19 @@
 
 
 class TargetState:
-    """Everything one target process knows of its target."""
+    """The state of one target process.
+
+    Attributes:
+        held: The configuration version in force.
+        engine_up: Whether the engine answers; always true at a plain service.
+        leaving: Whether the target is draining.
+        attempts: Attempts that are not closed, by id.
+        awaiting_prior_homes: Attempts whose former homes have not answered yet.
+        running: Dispatched attempts by id.
+        closed_attempts: Failures that late copies of closed attempts are
+            answered with, by attempt id.
+        warm: Adapters that are kept loaded even without requests.
+    """
 
     def __init__(
         self,
@@ -80,13 +92,13 @@
         random_source: random.Random,
         budget: load_budget.BudgetSettings | None = None,
     ) -> None:
-        """Starts with no configuration and an engine that was not seen.
+        """Initializes without a configuration; the engine is not up yet.
 
         Args:
-            settings: What the process knows of its target.
+            settings: Settings of the process.
             now_ms: Monotonic clock.
-            random_source: Spreads the callers' return.
-            budget: The site's allowance of loads.
+            random_source: Spreads the retries of callers.
+            budget: Load budget of the site.
         """
         self.settings = settings
         self.held = holder_lib.EMPTY
@@ -106,33 +118,35 @@
         self.engine_up = settings.kind is checks.TargetKind.PLAIN
         self.leaving = False
         self.attempts: dict[bytes, attempt_lib.Attempt] = {}
-        self.asking: dict[bytes, attempt_lib.Attempt] = {}
+        self.awaiting_prior_homes: dict[bytes, attempt_lib.Attempt] = {}
         self.running: dict[bytes, Running] = {}
         self.running_by_customer: collections.Counter[str] = (
             collections.Counter()
         )
-        self.closed: collections.OrderedDict[bytes, result.Failure] = (
+        self.closed_attempts: collections.OrderedDict[bytes, result.Failure] = (
             collections.OrderedDict()
         )
         self.warm: frozenset[str] = frozenset()
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is asked, queued or running."""
-        return not (self.running or self.asking or len(self.queue))
+        """Whether no attempt is queued, running or waiting for former homes."""
+        return not (
+            self.running or self.awaiting_prior_homes or len(self.queue)
+        )
 
     def report(
         self, adapter: str, process: bytes, now_ms: int
     ) -> load_lib.Load:
-        """Returns this target's word on itself.
+        """Returns the load report that entry daemons use for routing.
 
         Args:
-            adapter: The adapter asked about, empty for none.
+            adapter: The requested adapter, empty for none.
             process: Identity of this process.
             now_ms: Now.
 
         Returns:
-            What entry daemons route by.
+            The report.
         """
         queued, running = len(self.queue), len(self.running)
         standing = self.residency.standing(adapter, now_ms)
@@ -149,32 +163,32 @@
         )
 
     def cheapest_victim(self, now_ms: int) -> tuple[float, str]:
-        """Finds the adapter that is missed least, if any may go.
+        """Finds the least requested adapter that may be evicted.
 
         Args:
             now_ms: Now.
 
         Returns:
-            The estimated rate of its requests and its name; no name if a
-            slot is free or none may go.
+            The estimated rate of its requests and its name; the name is empty
+            if a slot is free or no adapter may be evicted.
         """
         if self.residency.free_slots() > 0:
             return 0.0, ""
-        waited_for = set(self.queue.adapters())
+        awaited = set(self.queue.adapters())
         return min(
             (
                 (self.popularity.value(name, now_ms), name)
                 for name, slot in self.residency.slots.items()
                 if slot.standing is residency_lib.Standing.RESIDENT
                 and slot.grants == 0
-                and name not in waited_for
+                and name not in awaited
                 and name not in self.warm
             ),
             default=(math.inf, ""),
         )
 
     def blocked(self, now_ms: int) -> bool:
-        """Whether no slot could be freed for another adapter now."""
+        """Whether no slot can be freed for another adapter now."""
         if self.residency.free_slots() > 0:
             return False
         closing = any(
@@ -184,11 +198,11 @@
         return not closing and not self.cheapest_victim(now_ms)[1]
 
     def service(self, name: str) -> document_lib.Service | None:
-        """Returns a service of the held version."""
+        """Returns a service of the version in force, None if unknown."""
         return self.held.document.services.get(name)
 
     def load_delay_ms(self, adapter: str, now_ms: int) -> int:
-        """Predicts when an adapter would be resident, from now."""
+        """Predicts how long it takes until an adapter is resident."""
         standing = self.residency.standing(adapter, now_ms)
         estimate_ms = self.residency.load_estimate_ms
         if not adapter or standing is residency_lib.Standing.RESIDENT:
@@ -196,33 +210,33 @@
         if standing is residency_lib.Standing.LOADING:
             slot = self.residency.slots[adapter]
             return max(1, round(estimate_ms - (now_ms - slot.since_ms)))
-        ahead = sum(
+        loads_before = sum(
             self.residency.standing(other, now_ms)
             is residency_lib.Standing.ABSENT
             for other in self.queue.adapters()
             if other != adapter
         )
-        ahead += self.residency.loading_count()
-        turns = 1 + ahead // self.settings.max_parallel_loads
-        return round(turns * estimate_ms) + self.budget.delay_ms(now_ms)
+        loads_before += self.residency.loading_count()
+        batches = 1 + loads_before // self.settings.max_parallel_loads
+        return round(batches * estimate_ms) + self.budget.delay_ms(now_ms)
 
 
 def close_attempt(
     target: TargetState, attempt_id: bytes, failure: result.Failure
 ) -> None:
-    """Remembers what a late copy of an attempt is answered."""
-    target.closed[attempt_id] = failure
-    while len(target.closed) > CLOSED_KEEP:
-        target.closed.popitem(last=False)
+    """Stores the failure that a late copy of an attempt is answered with."""
+    target.closed_attempts[attempt_id] = failure
+    while len(target.closed_attempts) > MAX_CLOSED_ATTEMPTS:
+        target.closed_attempts.popitem(last=False)
 
 
-def refuse(
+def reject(
     target: TargetState,
     attempt: attempt_lib.Attempt,
     failure: result.Failure,
     actions: Actions,
 ) -> None:
-    """Refuses an attempt and records it, so that a late copy cannot run."""
+    """Rejects an attempt and records it, so that a late copy cannot run."""
     invariant.require(
         attempt.attempt_id not in target.running,
         result.REFUSED_AND_RUN,
@@ -230,30 +244,30 @@
     )
     target.attempts.pop(attempt.attempt_id, None)
     close_attempt(target, attempt.attempt_id, failure)
-    actions.append(event_lib.Refuse(attempt.attempt_id, failure))
+    actions.append(event_lib.Reject(attempt.attempt_id, failure))
 
 
-def refuse_claimed(
+def reject_claimed(
     target: TargetState,
     attempt: attempt_lib.Attempt,
     failure: result.Failure,
     now_ms: int,
     actions: Actions,
 ) -> None:
-    """Refuses an attempt that may own its key in the ledger."""
+    """Rejects an attempt that may own its key in the ledger."""
     if attempt.key:
         target.ledger.refuse((attempt.service, attempt.key), now_ms)
-    refuse(target, attempt, failure, actions)
+    reject(target, attempt, failure, actions)
 
 
-def refuse_waiting(
+def reject_waiting(
     target: TargetState,
     waiting: fair_queue.Waiting,
     failure: result.Failure,
     now_ms: int,
     actions: Actions,
 ) -> None:
-    """Removes an attempt from the queue and refuses it as not run."""
+    """Removes an attempt from the queue and rejects it as not run."""
     target.queue.remove(waiting.attempt_id)
     attempt = target.attempts[waiting.attempt_id]
-    refuse_claimed(target, attempt, failure, now_ms, actions)
+    reject_claimed(target, attempt, failure, now_ms, actions)
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -1,4 +1,4 @@
-"""How long a target may be silent, without I/O."""
+"""How long a response may stall before its request is moved, without I/O."""
 
 import dataclasses
 
@@ -27,20 +27,20 @@
     return silence.allowed_ms(ROUTE, health, begun=begun, now_ms=NOW_MS)
 
 
-def test_a_quiet_engine_is_left_before_the_pause_is_late() -> None:
-    """No stream of it goes on, and none has paused before."""
+def test_a_stalled_stream_is_moved_before_the_objective_is_missed() -> None:
+    """No other stream of the engine progresses, and none has stalled before."""
     assert _allowed_ms(roster.Health()) == 240
 
 
-def test_a_pause_of_one_stream_is_no_reason_to_leave() -> None:
-    """Load pattern: an engine reads a prompt, its other streams go on."""
+def test_a_stall_is_tolerated_while_other_streams_progress() -> None:
+    """Load pattern: an engine reads a prompt while other streams progress."""
     health = roster.Health()
     health.progressed(20, NOW_MS - 100)
     assert _allowed_ms(health) == 960
 
 
-def test_pauses_that_are_usual_at_an_engine_are_waited_for() -> None:
-    """Learned from its streams, and forgotten as they get shorter."""
+def test_the_usual_pauses_of_an_engine_are_tolerated() -> None:
+    """The estimate follows the observed pauses and decays as they shorten."""
     health = roster.Health()
     health.progressed(500, NOW_MS - 2_000)
     assert _allowed_ms(health) == 750
@@ -49,11 +49,11 @@
     assert _allowed_ms(health) == 240
 
 
-def test_before_the_first_event_the_objective_counts() -> None:
-    """Whatever pauses its streams make later."""
+def test_the_objective_bounds_the_wait_for_the_first_event() -> None:
+    """Pauses of the engine's streams are ignored before the first event."""
     health = roster.Health()
     health.progressed(500, NOW_MS)
     assert _allowed_ms(health, begun=False) == 750
     short = dataclasses.replace(ROUTE, objective_ms=100)
     allowed_ms = silence.allowed_ms(short, health, begun=False, now_ms=NOW_MS)
-    assert allowed_ms == silence.MIN_SILENCE_MS
+    assert allowed_ms == silence.MIN_STALL_MS
