--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -34,15 +34,15 @@
 
 
 def _due_order() -> None:
-    wanted = adapter_keeper._Wanted
+    wanted = adapter_keeper._RequestedLoad
     wanted.is_late = lambda self, now_ms, load_ms: False
     wanted.urgency_ms = lambda self: (
-        self.since_ms - adapter_keeper.WAITER_MS * self.waiting
+        self.since_ms - adapter_keeper.WAITER_CREDIT_MS * self.waiting
     )
 
 
 def _late_yield() -> None:
-    adapter_keeper._Wanted.is_late = lambda self, now_ms, load_ms: False
+    adapter_keeper._RequestedLoad.is_late = lambda self, now_ms, load_ms: False
 
 
 def _refusal() -> None:
@@ -50,7 +50,7 @@
 
 
 def _copies() -> None:
-    placement_lib.SPREAD_ABOVE_MS = NEVER_MS
+    placement_lib.REPLICATION_THRESHOLD_MS = NEVER_MS
 
 
 def _overload_bound() -> None:
@@ -62,11 +62,11 @@
 
 
 def _memory() -> None:
-    adapter_keeper.WARM_PER_PLACE = 0
+    adapter_keeper.WARM_PER_SLOT = 0
 
 
 def _waiters() -> None:
-    adapter_keeper.WAITER_MS = 0
+    adapter_keeper.WAITER_CREDIT_MS = 0
 
 
 def _learned_gap() -> None:
@@ -78,7 +78,7 @@
 
 
 def _silence() -> None:
-    placement_lib.SILENCE_WEIGHT = 0.0
+    placement_lib.SLOW_FIRST_BYTE_WEIGHT = 0.0
 
 
 # What switches each mechanism off, in a process of its own.
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -255,9 +255,9 @@
         self._round_number = 0
         fleet.clock.after(0, self._round)
 
-    def hear(self, demand: adapter_keeper.Demand) -> None:
+    def handle_update(self, demand: adapter_keeper.Demand) -> None:
         """Takes a gateway's demand."""
-        if self.keeper.hear(demand, self.fleet.now_ms):
+        if self.keeper.handle_update(demand, self.fleet.now_ms):
             self._round()
 
     def _round(self) -> None:
@@ -280,7 +280,7 @@
                 break
             report_ = self.engine.report()
         self._tell()
-        look_ms = self.keeper.next_look_ms(self.fleet.now_ms)
+        look_ms = self.keeper.next_poll_ms(self.fleet.now_ms)
 
         def again() -> None:
             if number == self._round_number:
@@ -303,7 +303,7 @@
         for gateway in self.fleet.gateways:
             self.fleet.clock.after(
                 LINK_MS,
-                lambda gateway=gateway: gateway.hear(
+                lambda gateway=gateway: gateway.handle_update(
                     self._instance, report_, pending, load_wait
                 ),
             )
@@ -371,7 +371,9 @@
         )
         sidecar = self.fleet.sidecar_of(instance)
         if sidecar is not None:
-            self.fleet.clock.after(LINK_MS, lambda: sidecar.hear(demand))
+            self.fleet.clock.after(
+                LINK_MS, lambda: sidecar.handle_update(demand)
+            )
 
     def _hurry(self, member: roster_lib.Member) -> None:
         if not self._hurried:
@@ -383,7 +385,7 @@
         for member in hurried.values():
             self._tell(member)
 
-    def hear(
+    def handle_update(
         self,
         instance: str,
         report_: adapter_keeper.Report,
@@ -398,7 +400,7 @@
         before = self.placement.views.get(address)
         view = placement_lib.View(
             instance=instance,
-            heard_at_ms=self.fleet.now_ms,
+            received_at_ms=self.fleet.now_ms,
             running=report_.running,
             queued=report_.queued,
             residents=dict(report_.residents),
@@ -406,7 +408,7 @@
             own_in_flight=member.health.in_flight,
             load_wait=load_wait,
         )
-        self.placement.hear(address, view)
+        self.placement.handle_update(address, view)
         if before is None or before.residents != view.residents:
             for number in list(self.waiters):
                 self._look(number)
@@ -474,8 +476,10 @@
         member = choice.load
         if choice.send is not None:
             if member is not None:
-                self.placement.wished(member, adapter)
-                if self._book(member).copy(adapter, 0, self.fleet.now_ms):
+                self.placement.record_load_request(member, adapter)
+                if self._book(member).request_copy(
+                    adapter, 0, self.fleet.now_ms
+                ):
                     self._hurry(member)
             return
         if member is waiter.home:
@@ -483,7 +487,7 @@
         self._unwish(waiter, adapter)
         waiter.home = member
         if member is not None:
-            self.placement.wished(member, adapter)
+            self.placement.record_load_request(member, adapter)
             if self._book(member).wait(adapter, 0, waiter.due_at_ms):
                 self._tell(member)
             else:
@@ -493,7 +497,7 @@
         home, waiter.home = waiter.home, None
         if home is None:
             return
-        if self._book(home).waits_no_more(adapter, waiter.due_at_ms):
+        if self._book(home).stop_waiting(adapter, waiter.due_at_ms):
             self._hurry(home)
 
     def _send(self, caller: Caller, member: roster_lib.Member) -> None:
@@ -547,7 +551,7 @@
             if engine is None or not engine.up:
                 self.roster.unreachable(member.listing.instance, now_ms)
             else:
-                self.placement.disbelieve(member, adapter)
+                self.placement.mark_absent(member, adapter)
             self.take(caller)
 
         def leave() -> None:
@@ -720,7 +724,7 @@
         self, adapter: str, heard: list[roster_lib.Member], now_ms: int
     ) -> roster_lib.Member:
         del adapter
-        return min(heard, key=lambda one: self._load_ms(one, now_ms))
+        return min(heard, key=lambda one: self._queueing_ms(one, now_ms))
 
 
 class _Hashing(_LeastLoaded):
--- a/bench/shipped.py
+++ b/bench/shipped.py
@@ -60,7 +60,7 @@
         resident = frozenset(
             name
             for name, slot in self.machine.residency.slots.items()
-            if slot.standing is residency_lib.Standing.RESIDENT
+            if slot.adapter_state is residency_lib.AdapterState.RESIDENT
         )
         if self.machine.residency.incarnation != str(self.incarnation):
             resident = frozenset()
@@ -84,8 +84,10 @@
 
     def submit(self, attempt: attempt_lib.Attempt) -> None:
         """Takes an attempt."""
-        standing = self.machine.residency.standing(attempt.adapter, self.now_ms)
-        stalls = standing is not residency_lib.Standing.RESIDENT
+        adapter_state = self.machine.residency.adapter_state(
+            attempt.adapter, self.now_ms
+        )
+        stalls = adapter_state is not residency_lib.AdapterState.RESIDENT
         self.waiting[attempt.attempt_id] = (self.world.clock.now_ms, stalls)
         self.feed(event_lib.Submitted(attempt))
 
@@ -251,8 +253,8 @@
         if self.omniscient:
             candidates = list(resolution.service.targets)
         adapter = resolution.adapter
-        considered = router.considered(candidates, adapter, now_ms)
-        probed = router.to_probe(considered, adapter, now_ms)
+        shortlist = router.shortlist(candidates, adapter, now_ms)
+        probed = router.to_probe(shortlist, adapter, now_ms)
         if self.omniscient:
             best = min(candidates, key=lambda n: self._true_cost(n, adapter))
             self._go(request, router, resolution, [best])
@@ -270,13 +272,13 @@
     def _true_cost(self, name: str, adapter: str) -> tuple[float, ...]:
         """Weighs a target by its state at this very moment."""
         machine, now_ms = self.targets[name].machine, int(self.clock.now_ms)
-        standing = machine.residency.standing(adapter, now_ms)
+        adapter_state = machine.residency.adapter_state(adapter, now_ms)
         wait_ms = machine.forecast.wait_ms(
             queued=len(machine.queue), running=len(machine.running)
         )
-        if standing is residency_lib.Standing.RESIDENT:
+        if adapter_state is residency_lib.AdapterState.RESIDENT:
             return (wait_ms, 0.0, 0.0)
-        if standing is residency_lib.Standing.LOADING:
+        if adapter_state is residency_lib.AdapterState.LOADING:
             return (wait_ms + 200.0, 0.0, 0.0)
         value, victim = machine.cheapest_victim(now_ms)
         free = machine.residency.free_slots() > 0
@@ -297,9 +299,9 @@
         candidates: list[str],
     ) -> None:
         now_ms = int(self.clock.now_ms)
-        considered = router.considered(candidates, resolution.adapter, now_ms)
+        shortlist = router.shortlist(candidates, resolution.adapter, now_ms)
         ranked = router.rank(
-            considered,
+            shortlist,
             resolution.adapter,
             resolution.service.stall_weight,
             now_ms,
--- a/packages/radishd/src/radishd/entry.py
+++ b/packages/radishd/src/radishd/entry.py
@@ -241,16 +241,16 @@
             return candidates
         now_ms = clock.now_ms()
         adapter = resolution.adapter
-        considered = self.router.considered(candidates, adapter, now_ms)
-        to_probe = self.router.to_probe(considered, adapter, now_ms)
+        shortlist = self.router.shortlist(candidates, adapter, now_ms)
+        to_probe = self.router.to_probe(shortlist, adapter, now_ms)
         if to_probe:
             async with anyio.create_task_group() as tasks:
                 for target in to_probe:
                     tasks.start_soon(self._probe, target, adapter, held)
             now_ms = clock.now_ms()
-            considered = self.router.considered(candidates, adapter, now_ms)
+            shortlist = self.router.shortlist(candidates, adapter, now_ms)
         return self.router.rank(
-            considered, adapter, resolution.service.stall_weight, now_ms
+            shortlist, adapter, resolution.service.stall_weight, now_ms
         )
 
     async def _probe(
--- a/packages/radishd/src/radishd/platform/store.py
+++ b/packages/radishd/src/radishd/platform/store.py
@@ -53,7 +53,7 @@
         self._pool = pool_lib.Pool(CONNECT_TIMEOUT_MS)
         self._metrics = metrics
         self._availability = availability.Availability()
-        self.on_back: Callable[[str, availability.Absence], None] = (
+        self.on_back: Callable[[str, availability.Outage], None] = (
             lambda kind, absence: None
         )
         self.on_restored: Callable[[], None] = lambda: None
@@ -250,7 +250,7 @@
         )
         if isinstance(answer, http_client.Lost):
             if not answer.silent:
-                self._availability.broke_off(clock.boot_ms())
+                self._availability.connection_broken(clock.boot_ms())
             return result.Failure(result.STORE_UNAVAILABLE, answer.reason)
         era = _era(answer.head) or self.era
         if era < self.era:
--- a/packages/radishd/src/radishd/platform/wire.py
+++ b/packages/radishd/src/radishd/platform/wire.py
@@ -323,7 +323,7 @@
     return residents
 
 
-def announced(spec: Fields) -> result.Outcome[adapter_keeper.Want]:
+def announced(spec: Fields) -> result.Outcome[adapter_keeper.LoadRequest]:
     """Decodes the announcement of a new version.
 
     Returns:
@@ -334,7 +334,7 @@
     except ValueError as error:
         return checked.unreadable("version", error)
     name = f"{entry.model}/{entry.adapter}" if entry.adapter else entry.model
-    return adapter_keeper.Want(name, entry.version)
+    return adapter_keeper.LoadRequest(name, entry.version)
 
 
 def report(body: bytes) -> result.Outcome[adapter_keeper.Report]:
--- a/packages/radishd/src/radishd/process/knowledge.py
+++ b/packages/radishd/src/radishd/process/knowledge.py
@@ -186,7 +186,7 @@
             if name != kind:
                 follower.restart()
 
-    def _store_back(self, kind: str, absence: availability.Absence) -> None:
+    def _store_back(self, kind: str, absence: availability.Outage) -> None:
         """Doubts absences and hanging calls, from the first answer on.
 
         Counted from the first answer on the targets, which may come seconds
@@ -373,7 +373,9 @@
             self._refuse(wire.KIND_VERSIONS, record, want.message)
             return
         now_ms = clock.boot_ms()
-        taken = self._placement.announce(want.adapter, want.version, now_ms)
+        taken = self._placement.record_announcement(
+            want.adapter, want.version, now_ms
+        )
         self._log.write(
             "version_announced",
             adapter=want.adapter,
--- a/packages/radishd/src/radishd/process/load_requests.py
+++ b/packages/radishd/src/radishd/process/load_requests.py
@@ -69,7 +69,9 @@
 
     def take(
         self, address: str
-    ) -> tuple[tuple[adapter_keeper.Use, ...], tuple[adapter_keeper.Want, ...]]:
+    ) -> tuple[
+        tuple[adapter_keeper.Use, ...], tuple[adapter_keeper.LoadRequest, ...]
+    ]:
         """Returns what is to be sent of one engine now."""
         return self._book(address).take(clock.boot_ms())
 
@@ -80,9 +82,9 @@
             member: An engine.
             turn: Number of the turn.
         """
-        if self._book(member.listing.address).has_news:
+        if self._book(member.listing.address).has_update:
             return True
-        if not self._placement.is_heard(member, clock.boot_ms()):
+        if not self._placement.has_fresh_status(member, clock.boot_ms()):
             # It may have started after the last word, and knows neither this
             # gateway nor which start of its engine is listed.
             return True
@@ -128,7 +130,7 @@
         if member is None:
             return
         load_request.home = member
-        self._placement.wished(member, load_request.adapter)
+        self._placement.record_load_request(member, load_request.adapter)
         version = self._version(load_request.adapter)
         first = self._book(member.listing.address).wait(
             load_request.adapter, version, load_request.due_at_ms
@@ -150,16 +152,16 @@
         if home is None:
             return
         book = self._book(home.listing.address)
-        if book.waits_no_more(load_request.adapter, load_request.due_at_ms):
+        if book.stop_waiting(load_request.adapter, load_request.due_at_ms):
             # Unheard, the load would be for nobody and keep a place from
             # those that wait.
             self._hurry(home)
 
     def _copy(self, member: roster_lib.Member, adapter: str) -> None:
-        self._placement.wished(member, adapter)
+        self._placement.record_load_request(member, adapter)
         version = self._version(adapter)
         book = self._book(member.listing.address)
-        if not book.copy(adapter, version, clock.boot_ms()):
+        if not book.request_copy(adapter, version, clock.boot_ms()):
             return
         self._hurry(member)
         self._log.write(
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -240,7 +240,9 @@
             if refusal is not None:
                 return refusal
             now_ms = clock.boot_ms()
-            member = gateway.placement.plain(self._usable(now_ms), now_ms)
+            member = gateway.placement.choose_plain(
+                self._usable(now_ms), now_ms
+            )
             if member is None or not self._book_rate(member):
                 return self._no_target()
             return member, 0
@@ -445,7 +447,7 @@
         sent_at_ms = member.health.unanswered.pop(self, None)
         if sent_at_ms is None:
             return
-        if clock.boot_ms() - sent_at_ms > placement_lib.ENGINE_PATIENCE_MS:
+        if clock.boot_ms() - sent_at_ms > placement_lib.ENGINE_FIRST_BYTE_MS:
             self.gateway.evidence.record_silence(member)
 
     def _start(
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -71,7 +71,7 @@
         """The start of the engine that orders are for, empty if unknown."""
         return self.incarnations.current
 
-    def hear(
+    def handle_update(
         self, datagram: fleet_wire.Datagram, sender: fleet_socket.Address
     ) -> None:
         """Handles a gateway's demand."""
@@ -80,7 +80,7 @@
         now_ms = clock.boot_ms()
         demand = datagram.demand
         waits = frozenset(want.adapter for want in demand.wants if want.waiting)
-        self.audience.heard(
+        self.audience.record_demand(
             sender,
             datagram.peer_address,
             waits,
@@ -95,7 +95,7 @@
                 "engine_instance", instance=demand.instance, before=known
             )
             self.keeper.restarted()
-        is_news = self.keeper.hear(demand, now_ms)
+        is_news = self.keeper.handle_update(demand, now_ms)
         if is_news or not waits.isdisjoint(self._residents()):
             self.wake.set()
 
@@ -106,7 +106,7 @@
         """Keeps the engine until cancelled."""
         while True:
             await self._round()
-            look_ms = self.keeper.next_look_ms(clock.boot_ms())
+            look_ms = self.keeper.next_poll_ms(clock.boot_ms())
             with anyio.move_on_after(look_ms / MS_PER_S):
                 await self.wake.wait()
             self.wake = anyio.Event()
@@ -171,7 +171,7 @@
                 await self._tell()
 
     def _is_tell_due(self, now_ms: int) -> bool:
-        return now_ms - self._told_at_ms >= self.audience.user_ms()
+        return now_ms - self._told_at_ms >= self.audience.active_interval_ms()
 
     def _note(
         self,
@@ -217,7 +217,7 @@
             queued=report.queued if report is not None else 0,
             residents=residents,
             pending=self.keeper.pending(now_ms),
-            peer_addresses=self.audience.take_names(),
+            peer_addresses=self.audience.next_names(),
             load_wait=self.keeper.load_wait(now_ms),
             born_ms=born_ms,
             former_born_ms=self.former_born_ms if born_ms else 0,
@@ -290,7 +290,7 @@
     log.must("start", role=str(settings.role), engine=own.engine)
     async with anyio.create_task_group() as tasks:
         sidecar.socket = await fleet_socket.open_socket(
-            own.control, metrics, sidecar.hear
+            own.control, metrics, sidecar.handle_update
         )
         jobs = {
             "receive": sidecar.socket.run,
--- a/packages/radishd/src/radishd/sidecar_exchange.py
+++ b/packages/radishd/src/radishd/sidecar_exchange.py
@@ -99,10 +99,10 @@
             base_models=spec.base_models,
             uses=uses,
             wants=wants,
-            announced=self._placement.outdated(member),
+            announced=self._placement.newer_versions(member),
         )
         if uses or wants:
-            self._placement.asked(member, clock.boot_ms())
+            self._placement.note_demand_sent(member, clock.boot_ms())
         host, _ = settings_lib.split_address(listing.address)
         datagram = fleet_wire.DemandDatagram(demand, self._own.peers)
         left_out_count = fleet_wire.left_out_count(datagram)
@@ -157,7 +157,7 @@
         before = self._placement.views.get(member.listing.address)
         view = placement_lib.View(
             instance=datagram.instance,
-            heard_at_ms=clock.boot_ms(),
+            received_at_ms=clock.boot_ms(),
             running=datagram.running,
             queued=datagram.queued,
             residents=datagram.residents,
@@ -169,7 +169,7 @@
             next_ms=datagram.next_ms,
             recent=datagram.recent,
         )
-        self._placement.hear(member.listing.address, view)
+        self._placement.handle_update(member.listing.address, view)
         if before is None:
             # The first update of this engine: requests may wait for any
             # adapter.
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -551,7 +551,7 @@
             "queued": len(machine.queue),
             "running": len(machine.running),
             "resident": {
-                name: slot.standing.name.lower()
+                name: slot.adapter_state.name.lower()
                 for name, slot in sorted(machine.residency.slots.items())
             },
             "keys": len(machine.ledger.records),
--- a/packages/radishd/src/radishd/target_evidence.py
+++ b/packages/radishd/src/radishd/target_evidence.py
@@ -64,7 +64,7 @@
             self._roster.ended(instance)
             self._pool.drop(address)
         elif outcome is Outcome.MISMATCH:
-            self._placement.disbelieve(member, adapter)
+            self._placement.mark_absent(member, adapter)
         else:
             self._roster.failed(instance, now_ms)
 
--- a/packages/radishstack/src/radishstack/connection/fleet_wire.py
+++ b/packages/radishstack/src/radishstack/connection/fleet_wire.py
@@ -367,7 +367,7 @@
             for use in body.uses
         ),
         wants=tuple(
-            adapter_keeper.Want(
+            adapter_keeper.LoadRequest(
                 want.adapter,
                 want.version,
                 want.waiting,
--- a/packages/radishstack/src/radishstack/load.py
+++ b/packages/radishstack/src/radishstack/load.py
@@ -8,7 +8,7 @@
     """A target's own word on its state.
 
     Attributes:
-        residency: Of the adapter asked about, a ``residency.Standing``.
+        residency: Of the adapter asked about, a ``residency.AdapterState``.
         leaving: Whether it takes no new work.
         version: Configuration version it holds.
         queued: Queued attempts.
--- a/packages/radishstack/src/radishstack/process/adapter_keeper.py
+++ b/packages/radishstack/src/radishstack/process/adapter_keeper.py
@@ -19,27 +19,27 @@
 # A gateway's word on its use of this engine is believed this long. It is
 # renewed several times a second; after this the gateway is gone, and the
 # engine itself still protects runs from an unload.
-DEMAND_MS = 2_000
+USE_TTL_MS = 2_000
 # Each word of a gateway says all that it wants, several times a second. A
 # gateway that was not heard for longer waits no more, or is cut off.
-WANT_MS = 1_000
+LOAD_REQUEST_TTL_MS = 1_000
 # No eviction right after a use: a gateway may be sending the next request,
 # and learns of an eviction some milliseconds after it.
-IDLE_MS = 25
+EVICTION_IDLE_MS = 25
 # After a load order that the engine refused, others go first.
-REFUSED_MS = 500
+REJECTED_LOAD_BACKOFF_MS = 500
 # Adapters that the engine held lately and most likely still has in its memory,
 # for each place: engines keep six times as many as they have places.
-WARM_PER_PLACE = 5
+WARM_PER_SLOT = 5
 # Adapters held last that a word names beside those that are held: more than
 # an engine replaces between two words to those that are told seldom.
 MAX_RECENT = 8
 # What one more request that waits for an adapter is worth, in time waited: the
 # load of an adapter that several wait for serves them all.
-WAITER_MS = 100
+WAITER_CREDIT_MS = 100
 # A load request without an objective, or with a long one, is ordered as if it
 # were due so long after it was made.
-IN_TURN_MS = 1_000
+MAX_DUE_MS = 1_000
 # While loads wait, the time between two of them is learned with this weight
 # of the newest: it is four in one fetch at best, and several times as long once
 # every place is in use or the weight store is shared by many.
@@ -50,24 +50,24 @@
 # Weight of the newest fetch in the estimate of how long one takes.
 FETCH_WEIGHT = 0.3
 # Part of that time after which its end is looked for.
-DUE_PART = 0.8
+FIRST_POLL_FRACTION = 0.8
 # The same from its own memory.
 WARM_LOAD_MS = 25
 # How often the engine is asked for its report: where a change is due, and at
 # the least. A place that is waited for comes free when a gateway's word says
 # that a run has ended, so the engine need not be asked for that.
-LOOK_MS = 15
-IDLE_LOOK_MS = 100
+POLL_MS = 15
+IDLE_POLL_MS = 100
 # Part of the time that a load is overdue after which it is looked for again:
 # while the weight store is slow, looks at a steady pace would be the same
 # report over and over.
-OVERDUE_PART = 0.25
+OVERDUE_POLL_FRACTION = 0.25
 # Half-life of an adapter's count of requests: popularity moves in seconds.
 HALF_LIFE_MS = 10_000
 
 
 # A load request that is due at no time.
-NOT_DUE_MS = 2**31 - 1
+NEVER_DUE_MS = 2**31 - 1
 
 
 class Operation(enum.StrEnum):
@@ -136,7 +136,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Want:
+class LoadRequest:
     """An adapter that a gateway has requests for.
 
     Attributes:
@@ -152,8 +152,8 @@
     adapter: str
     version: int
     waiting: int = 0
-    first_due_ms: int = NOT_DUE_MS
-    last_due_ms: int = NOT_DUE_MS
+    first_due_ms: int = NEVER_DUE_MS
+    last_due_ms: int = NEVER_DUE_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -175,7 +175,7 @@
     adapter_limit: int
     base_models: tuple[str, ...]
     uses: tuple[Use, ...]
-    wants: tuple[Want, ...]
+    wants: tuple[LoadRequest, ...]
     announced: Mapping[str, int]
 
 
@@ -190,7 +190,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Wanted:
+class _RequestedLoad:
     version: int
     since_ms: int
     waiting: int = 0
@@ -203,8 +203,8 @@
 
     def urgency_ms(self) -> float:
         """Returns the time by which load requests are ordered."""
-        at_ms = min(self.first_due_at_ms, self.since_ms + IN_TURN_MS)
-        return at_ms - WAITER_MS * self.waiting
+        at_ms = min(self.first_due_at_ms, self.since_ms + MAX_DUE_MS)
+        return at_ms - WAITER_CREDIT_MS * self.waiting
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -235,17 +235,17 @@
         self.adapter_limit = 0
         self.base_models: tuple[str, ...] = ()
         self.announced: dict[str, int] = {}
-        self._wants: dict[str, tuple[int, tuple[Want, ...]]] = {}
-        self._wanted_since_ms: dict[str, int] = {}
+        self._requests: dict[str, tuple[int, tuple[LoadRequest, ...]]] = {}
+        self._requested_since_ms: dict[str, int] = {}
         self._gap_ms = FIRST_GAP_MS
-        self._turn_at_ms = 0
-        self._late_turn_at_ms = 0
+        self._last_load_at_ms = 0
+        self._last_late_load_at_ms = 0
         self.last_use_ms: dict[str, int] = {}
         self._warm: dict[str, None] = {}
         self.popularity = popularity.Popularity(HALF_LIFE_MS)
         self._in_flight: dict[str, tuple[int, dict[str, int]]] = {}
-        self._refused_until_ms: dict[str, int] = {}
-        self._due_ms: dict[str, int] = {}
+        self._rejected_until_ms: dict[str, int] = {}
+        self._expected_at_ms: dict[str, int] = {}
         self._fetched_since_ms: dict[str, int] = {}
         # 0 until a fetch was seen: callers are not turned away for a wait of
         # which nothing is known.
@@ -253,13 +253,13 @@
         self._hold_until_ms = 0
         self._born_ms = 0
         # Whether a load waits for a run to end, as of the last decision.
-        self._lacks_place = False
+        self._waits_for_slot = False
 
     def restarted(self) -> None:
         """Resets what is known after the engine was restarted."""
         self.report = None
-        self._refused_until_ms.clear()
-        self._due_ms.clear()
+        self._rejected_until_ms.clear()
+        self._expected_at_ms.clear()
         self._fetched_since_ms.clear()
         self._warm.clear()
 
@@ -271,10 +271,10 @@
         # load time estimates, gateways would reject requests that need a load
         # here, and without further loads the estimates would stay too high.
         self._fetched_since_ms.clear()
-        self._turn_at_ms = max(self._turn_at_ms, until_ms)
-        self._late_turn_at_ms = max(self._late_turn_at_ms, until_ms)
+        self._last_load_at_ms = max(self._last_load_at_ms, until_ms)
+        self._last_late_load_at_ms = max(self._last_late_load_at_ms, until_ms)
 
-    def hear(self, demand: Demand, now_ms: int) -> bool:
+    def handle_update(self, demand: Demand, now_ms: int) -> bool:
         """Applies a gateway's demand.
 
         Returns:
@@ -282,12 +282,12 @@
             not, or a run has ended while load requests wait for its place.
         """
         before = self.pending(now_ms) if demand.wants else frozenset()
-        freed = self._take(demand, now_ms)
+        freed = self._apply_demand(demand, now_ms)
         if demand.wants and self.pending(now_ms) - before:
             return True
-        return freed and self._lacks_place
+        return freed and self._waits_for_slot
 
-    def _take(self, demand: Demand, now_ms: int) -> bool:
+    def _apply_demand(self, demand: Demand, now_ms: int) -> bool:
         """Applies a demand; returns whether an adapter is no longer used."""
         if demand.adapter_limit:
             self.adapter_limit = demand.adapter_limit
@@ -306,9 +306,9 @@
         self._in_flight[demand.gateway] = (now_ms, in_flight)
         # What it does not want any more has nobody waiting there: a load for
         # callers that have left would keep a place from those that wait.
-        self._wants[demand.gateway] = (now_ms, demand.wants)
-        for want in demand.wants:
-            self._wanted_since_ms.setdefault(want.adapter, now_ms)
+        self._requests[demand.gateway] = (now_ms, demand.wants)
+        for request in demand.wants:
+            self._requested_since_ms.setdefault(request.adapter, now_ms)
         return bool(used.keys() - in_flight.keys())
 
     def observe(self, report: Report) -> int:
@@ -327,13 +327,13 @@
             self.restarted()
             self._in_flight.clear()
         self.report = report
-        for adapter in self._due_ms.keys() & report.residents.keys():
-            del self._due_ms[adapter]
+        for adapter in self._expected_at_ms.keys() & report.residents.keys():
+            del self._expected_at_ms[adapter]
         for adapter in report.residents:
             # The one held last goes last, so that the oldest is dropped.
             self._warm.pop(adapter, None)
             self._warm[adapter] = None
-        limit = WARM_PER_PLACE * self.adapter_limit
+        limit = WARM_PER_SLOT * self.adapter_limit
         while limit and len(self._warm) > limit:
             del self._warm[next(iter(self._warm))]
         return former_born_ms
@@ -346,10 +346,10 @@
         is at the end.
         """
         held = self.report.residents if self.report is not None else {}
-        gone = (name for name in reversed(self._warm) if name not in held)
-        return tuple(itertools.islice(gone, MAX_RECENT))[::-1]
+        former = (name for name in reversed(self._warm) if name not in held)
+        return tuple(itertools.islice(former, MAX_RECENT))[::-1]
 
-    def next_look_ms(self, now_ms: int) -> int:
+    def next_poll_ms(self, now_ms: int) -> int:
         """Returns how long the engine's report will most likely stay as it is.
 
         Loads take their known time, so that an engine with nothing but loads
@@ -357,109 +357,110 @@
         """
         report = self.report
         if report is None:
-            return LOOK_MS
+            return POLL_MS
         if not self.pending(now_ms):
-            return IDLE_LOOK_MS
-        look_ms = self._next_load_ms(report, now_ms)
+            return IDLE_POLL_MS
+        poll_ms = self._next_load_ms(report, now_ms)
         if any(
-            name not in report.in_transit for name in self._open_wants(now_ms)
+            name not in report.in_transit
+            for name in self._open_requests(now_ms)
         ):
-            look_ms = min(look_ms, self._next_place_ms(report, now_ms))
-        return min(max(look_ms, LOOK_MS), IDLE_LOOK_MS)
+            poll_ms = min(poll_ms, self._next_slot_ms(report, now_ms))
+        return min(max(poll_ms, POLL_MS), IDLE_POLL_MS)
 
     def _next_load_ms(self, report: Report, now_ms: int) -> int:
         """Returns in how long a load is likely to have ended."""
-        look_ms = IDLE_LOOK_MS
+        poll_ms = IDLE_POLL_MS
         for name in report.in_transit:
-            left_ms = self._due_ms.get(name, now_ms) - now_ms
+            left_ms = self._expected_at_ms.get(name, now_ms) - now_ms
             if left_ms < 0:
-                left_ms = round(-left_ms * OVERDUE_PART)
-            look_ms = min(look_ms, left_ms)
-        return look_ms
+                left_ms = round(-left_ms * OVERDUE_POLL_FRACTION)
+            poll_ms = min(poll_ms, left_ms)
+        return poll_ms
 
-    def _next_place_ms(self, report: Report, now_ms: int) -> int:
+    def _next_slot_ms(self, report: Report, now_ms: int) -> int:
         """Returns in how long the next load can be ordered."""
-        if not self._lacks_place:
-            return LOOK_MS
+        if not self._waits_for_slot:
+            return POLL_MS
         if len(report.in_transit) >= MAX_IN_TRANSIT:
-            return IDLE_LOOK_MS
+            return IDLE_POLL_MS
         idle_ms = [
-            self.last_use_ms.get(name, 0) + IDLE_MS - now_ms
+            self.last_use_ms.get(name, 0) + EVICTION_IDLE_MS - now_ms
             for name in report.residents
             if not is_base(name) and not self.in_flight(name, now_ms)
         ]
         return min(
             (left_ms for left_ms in idle_ms if left_ms > 0),
-            default=IDLE_LOOK_MS,
+            default=IDLE_POLL_MS,
         )
 
     def in_flight(self, adapter: str, now_ms: int) -> int:
         """Returns how many requests gateways have on an adapter."""
         return sum(
             own.get(adapter, 0)
-            for heard_at_ms, own in self._in_flight.values()
-            if now_ms - heard_at_ms <= DEMAND_MS
+            for received_at_ms, own in self._in_flight.values()
+            if now_ms - received_at_ms <= USE_TTL_MS
         )
 
     def pending(self, now_ms: int) -> frozenset[str]:
         """Returns the adapters that are loaded or will be."""
         report = self.report
         in_transit = report.in_transit if report is not None else {}
-        return frozenset(in_transit) | frozenset(self._open_wants(now_ms))
+        return frozenset(in_transit) | frozenset(self._open_requests(now_ms))
 
-    def _wanted(self, now_ms: int) -> dict[str, _Wanted]:
+    def _requested(self, now_ms: int) -> dict[str, _RequestedLoad]:
         """Returns what all gateways together want."""
-        self._wants = {
-            gateway: word
-            for gateway, word in self._wants.items()
-            if now_ms - word[0] <= WANT_MS
+        self._requests = {
+            gateway: entry
+            for gateway, entry in self._requests.items()
+            if now_ms - entry[0] <= LOAD_REQUEST_TTL_MS
         }
-        together: dict[str, _Wanted] = {}
-        for heard_at_ms, wants in self._wants.values():
-            for want in wants:
-                since_ms = self._wanted_since_ms[want.adapter]
-                wanted = together.setdefault(
-                    want.adapter, _Wanted(want.version, since_ms)
+        merged: dict[str, _RequestedLoad] = {}
+        for received_at_ms, requests in self._requests.values():
+            for request in requests:
+                since_ms = self._requested_since_ms[request.adapter]
+                load = merged.setdefault(
+                    request.adapter, _RequestedLoad(request.version, since_ms)
                 )
-                wanted.version = max(wanted.version, want.version)
-                wanted.waiting += want.waiting
-                wanted.first_due_at_ms = min(
-                    wanted.first_due_at_ms, heard_at_ms + want.first_due_ms
+                load.version = max(load.version, request.version)
+                load.waiting += request.waiting
+                load.first_due_at_ms = min(
+                    load.first_due_at_ms, received_at_ms + request.first_due_ms
                 )
-                wanted.last_due_at_ms = max(
-                    wanted.last_due_at_ms, heard_at_ms + want.last_due_ms
+                load.last_due_at_ms = max(
+                    load.last_due_at_ms, received_at_ms + request.last_due_ms
                 )
-        for name in self._wanted_since_ms.keys() - together.keys():
-            del self._wanted_since_ms[name]
-        return together
+        for name in self._requested_since_ms.keys() - merged.keys():
+            del self._requested_since_ms[name]
+        return merged
 
-    def _open_wants(self, now_ms: int) -> list[str]:
+    def _open_requests(self, now_ms: int) -> list[str]:
         """Returns the adapters that are wanted and missing, in order."""
         return [name for name, _ in self._queue(now_ms)]
 
-    def _queue(self, now_ms: int) -> list[tuple[str, _Wanted]]:
+    def _queue(self, now_ms: int) -> list[tuple[str, _RequestedLoad]]:
         report = self.report
         if report is None:
             return []
-        load_ms = self._fetch_ms
-        wants = [
-            (name, wanted)
-            for name, wanted in self._wanted(now_ms).items()
-            if report.residents.get(name, -1) < wanted.version
+        fetch_ms = self._fetch_ms
+        queue = [
+            (name, load)
+            for name, load in self._requested(now_ms).items()
+            if report.residents.get(name, -1) < load.version
             or name not in report.residents
         ]
         # What the engine still has in its memory is there in a tenth of the
         # time: served first, it makes the others wait next to nothing. A load
         # that comes too late for all its callers yields to those that are in
         # time: in a rush, first come first served has everyone late.
-        wants.sort(
-            key=lambda one: (
-                one[0] not in self._warm,
-                one[1].is_late(now_ms, load_ms),
-                one[1].urgency_ms(),
+        queue.sort(
+            key=lambda entry: (
+                entry[0] not in self._warm,
+                entry[1].is_late(now_ms, fetch_ms),
+                entry[1].urgency_ms(),
             )
         )
-        return wants
+        return queue
 
     def load_wait(self, now_ms: int) -> LoadWait:
         """Predicts how long a load that is wished now would take.
@@ -468,42 +469,40 @@
         their number alone would let callers wait past their objective.
         """
         report = self.report
-        load_ms = self._fetch_ms
-        idle_ms = round(load_ms)
+        fetch_ms = self._fetch_ms
+        unqueued_ms = round(fetch_ms)
         if report is None:
-            return LoadWait(idle_ms, FIRST_GAP_MS, idle_ms, idle_ms)
+            return LoadWait(unqueued_ms, FIRST_GAP_MS, unqueued_ms, unqueued_ms)
         queue = [
-            (name, wanted)
-            for name, wanted in self._queue(now_ms)
+            (name, load)
+            for name, load in self._queue(now_ms)
             if name not in report.in_transit
         ]
         if not queue:
-            return LoadWait(idle_ms, self._gap_ms, idle_ms, idle_ms)
+            return LoadWait(unqueued_ms, self._gap_ms, unqueued_ms, unqueued_ms)
         # A gap that is not over yet may already be longer than those before.
-        first_ms = min(wanted.since_ms for _, wanted in queue)
-        gap_ms = max(self._gap_ms, self._standing_ms(first_ms, now_ms) / 2)
+        first_ms = min(load.since_ms for _, load in queue)
+        gap_ms = max(self._gap_ms, self._stalled_ms(first_ms, now_ms) / 2)
         late = [
-            wanted.since_ms
-            for _, wanted in queue
-            if wanted.is_late(now_ms, load_ms)
+            load.since_ms for _, load in queue if load.is_late(now_ms, fetch_ms)
         ]
-        in_time_ms = load_ms + (len(queue) - len(late)) * gap_ms
-        wait_ms = load_ms + len(queue) * gap_ms
+        in_time_ms = fetch_ms + (len(queue) - len(late)) * gap_ms
+        wait_ms = fetch_ms + len(queue) * gap_ms
         if late:
             # Those that come too late yield to the others: in an overload
             # that lasts they have no turn, and further ones would wait in
             # vain.
-            passed_over_ms = now_ms - max(self._late_turn_at_ms, min(late))
+            passed_over_ms = now_ms - max(self._last_late_load_at_ms, min(late))
             late_gap_ms = max(gap_ms, passed_over_ms / 2)
             wait_ms = in_time_ms + len(late) * late_gap_ms
-        return LoadWait(round(wait_ms), gap_ms, round(in_time_ms), idle_ms)
+        return LoadWait(round(wait_ms), gap_ms, round(in_time_ms), unqueued_ms)
 
-    def _standing_ms(self, first_ms: int, now_ms: int) -> int:
+    def _stalled_ms(self, first_ms: int, now_ms: int) -> int:
         """Returns how long no load went on though one was wanted."""
         if self._missing_base(self.report) is not None:
             # Loads go on at the usual rate once the base model is there.
-            self._turn_at_ms = now_ms
-        return now_ms - max(self._turn_at_ms, first_ms)
+            self._last_load_at_ms = now_ms
+        return now_ms - max(self._last_load_at_ms, first_ms)
 
     def decide(self, now_ms: int) -> Order | None:
         """Decides the next order.
@@ -511,24 +510,24 @@
         Returns:
             The order, or None if none helps now.
         """
-        self._note_fetched(now_ms)
-        self._lacks_place = False
+        self._update_fetch_estimate(now_ms)
+        self._waits_for_slot = False
         order = self._decide(now_ms)
         if order is None or order.operation is Operation.UNLOAD:
             return order
         # Only the time in which it could have been loaded says how fast loads
         # go on; before it was wanted there was nothing to do.
-        since_ms = self._wanted_since_ms.get(order.adapter, now_ms)
-        gap_ms = now_ms - max(self._turn_at_ms, since_ms)
+        since_ms = self._requested_since_ms.get(order.adapter, now_ms)
+        gap_ms = now_ms - max(self._last_load_at_ms, since_ms)
         if not is_base(order.adapter):
             self._gap_ms += GAP_WEIGHT * (gap_ms - self._gap_ms)
-        self._turn_at_ms = now_ms
-        wanted = self._wanted(now_ms).get(order.adapter)
-        if wanted is None or wanted.is_late(now_ms, self._fetch_ms):
-            self._late_turn_at_ms = now_ms
+        self._last_load_at_ms = now_ms
+        load = self._requested(now_ms).get(order.adapter)
+        if load is None or load.is_late(now_ms, self._fetch_ms):
+            self._last_late_load_at_ms = now_ms
         return order
 
-    def _note_fetched(self, now_ms: int) -> None:
+    def _update_fetch_estimate(self, now_ms: int) -> None:
         """Learns from fetches that have ended how long they take."""
         report = self.report
         if report is None:
@@ -553,21 +552,21 @@
         base = self._missing_base(report)
         if base is not None:
             return self._order(Operation.LOAD, base, 0, now_ms)
-        for adapter in self._open_wants(now_ms):
+        for adapter in self._open_requests(now_ms):
             if adapter in report.in_transit:
                 continue
             if base_of(adapter) not in report.residents or is_base(adapter):
                 continue
-            if self._refused_until_ms.get(adapter, 0) > now_ms:
+            if self._rejected_until_ms.get(adapter, 0) > now_ms:
                 continue
-            return self._make_room_or_load(report, adapter, now_ms)
-        return self._retire(report, now_ms)
+            return self._evict_or_load(report, adapter, now_ms)
+        return self._unload_outdated(report, now_ms)
 
     def _missing_base(self, report: Report) -> str | None:
         """Returns the base model that an empty engine is to load."""
         if any(is_base(name) for name in report.residents):
             return None
-        for adapter in self._wanted_since_ms:
+        for adapter in self._requested_since_ms:
             if base_of(adapter) in self.base_models:
                 return base_of(adapter)
         return self.base_models[0] if self.base_models else None
@@ -576,22 +575,22 @@
         held = sum(not is_base(name) for name in report.residents)
         return held + len(report.in_transit)
 
-    def _make_room_or_load(
+    def _evict_or_load(
         self, report: Report, adapter: str, now_ms: int
     ) -> Order | None:
         if len(report.in_transit) >= MAX_IN_TRANSIT:
-            self._lacks_place = True
+            self._waits_for_slot = True
             return None
         if self._occupied(report) < self.adapter_limit:
             version = self.announced.get(adapter, 0)
             return self._order(Operation.LOAD, adapter, version, now_ms)
         victim = self._victim(report, now_ms)
         if victim is None:
-            self._lacks_place = True
+            self._waits_for_slot = True
             return None
         return self._order(Operation.UNLOAD, victim, 0, now_ms)
 
-    def _retire(self, report: Report, now_ms: int) -> Order | None:
+    def _unload_outdated(self, report: Report, now_ms: int) -> Order | None:
         """Unloads an idle adapter whose version is out of date."""
         for adapter, version in report.residents.items():
             if is_base(adapter) or version >= self.announced.get(adapter, 0):
@@ -603,25 +602,31 @@
     def _idle(self, adapter: str, now_ms: int) -> bool:
         if self.in_flight(adapter, now_ms):
             return False
-        return now_ms - self.last_use_ms.get(adapter, -IDLE_MS) >= IDLE_MS
+        return (
+            now_ms - self.last_use_ms.get(adapter, -EVICTION_IDLE_MS)
+            >= EVICTION_IDLE_MS
+        )
 
     def _needed(
-        self, report: Report, adapter: str, wants: Mapping[str, _Wanted]
+        self,
+        report: Report,
+        adapter: str,
+        requested: Mapping[str, _RequestedLoad],
     ) -> bool:
         """Whether requests wait for the version that the engine holds."""
-        wanted = wants.get(adapter)
-        return wanted is not None and (
-            report.residents.get(adapter, -1) >= wanted.version
+        load = requested.get(adapter)
+        return load is not None and (
+            report.residents.get(adapter, -1) >= load.version
         )
 
     def _victim(self, report: Report, now_ms: int) -> str | None:
         """Returns the idle adapter that is least likely to be asked for."""
-        wants = self._wanted(now_ms)
+        requested = self._requested(now_ms)
         idle = [
             name
             for name in report.residents
             if not is_base(name)
-            and not self._needed(report, name, wants)
+            and not self._needed(report, name, requested)
             and self._idle(name, now_ms)
         ]
         if not idle:
@@ -670,10 +675,14 @@
             warm = order.adapter in self._warm
             # Looked for a little before it is due: looked for later, it would
             # seem to have taken that long.
-            took_ms = WARM_LOAD_MS if warm else DUE_PART * self._fetch_ms
-            self._due_ms[order.adapter] = now_ms + round(took_ms)
+            took_ms = (
+                WARM_LOAD_MS if warm else FIRST_POLL_FRACTION * self._fetch_ms
+            )
+            self._expected_at_ms[order.adapter] = now_ms + round(took_ms)
             replaced = report is not None and order.adapter in report.residents
             if not warm and not replaced and not is_base(order.adapter):
                 self._fetched_since_ms[order.adapter] = now_ms
         if refused:
-            self._refused_until_ms[order.adapter] = now_ms + REFUSED_MS
+            self._rejected_until_ms[order.adapter] = (
+                now_ms + REJECTED_LOAD_BACKOFF_MS
+            )
--- a/packages/radishstack/src/radishstack/process/audience.py
+++ b/packages/radishstack/src/radishstack/process/audience.py
@@ -14,26 +14,26 @@
 # How often users are told when nothing changed, and how much seldomer the more
 # gateways there are: a gateway counts an engine as silent after 700 ms, of
 # which a lost word must leave enough.
-USER_MS = 200
-USER_SELDOM_MS = 330
+ACTIVE_UPDATE_MS = 200
+MAX_ACTIVE_UPDATE_MS = 330
 # Up to so many gateways all are told like users, and of a change at once; of
 # more, those that wait for a load here.
-SMALL_CROWD = 8
+SMALL_GATEWAY_COUNT = 8
 # The longest time between two words to a gateway that does not use the engine.
 # What it believes is as old as that: with 68 gateways before 31 engines under
 # load, 1.6 % of sends met an adapter that had gone.
-IDLE_MS = 1_000
+IDLE_UPDATE_MS = 1_000
 # A gateway counts as a user for so long after its last use: requests of one
 # gateway for an engine's adapters come in series.
-USING_MS = 2_000
+ACTIVE_MS = 2_000
 # A gateway that was not heard for so long is gone: idle ones speak every 1.2 s,
 # and a word may be lost.
-GATEWAY_MS = 3_000
+GATEWAY_TTL_MS = 3_000
 MAX_GATEWAYS = 1_024
 # Gateways that one word names. Named all in each word, they would make words
 # grow with the fleet; the window moves on with every word, so that all are
 # named within some seconds.
-NAMES_PER_WORD = 4
+NAMES_PER_UPDATE = 4
 
 Address = tuple[str, int]
 
@@ -51,14 +51,14 @@
     """
 
     peer_address: str
-    heard_at_ms: int
+    received_at_ms: int
     used_at_ms: int
-    told_at_ms: int = 0
+    updated_at_ms: int = 0
     waits: frozenset[str] = frozenset()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class Recipients:
     """Whom to tell now, with the same promise.
 
     Attributes:
@@ -77,7 +77,7 @@
         """Starts with none."""
         self._gateways: dict[Address, _Gateway] = {}
         self._waiting: set[Address] = set()
-        self._named = 0
+        self._name_offset = 0
         # When the next regular word is due, at the earliest; 0 if unknown.
         self._next_at_ms = 0
 
@@ -85,7 +85,7 @@
         """Returns how many gateways are known."""
         return len(self._gateways)
 
-    def heard(
+    def record_demand(
         self,
         address: Address,
         peer_address: str,
@@ -112,45 +112,47 @@
             self._gateways[address] = known
             self._next_at_ms = 0
         known.peer_address = peer_address
-        known.heard_at_ms = now_ms
+        known.received_at_ms = now_ms
         known.waits = waits
         if waits:
             self._waiting.add(address)
         else:
             self._waiting.discard(address)
         if uses:
-            if now_ms - known.used_at_ms > USING_MS:
+            if now_ms - known.used_at_ms > ACTIVE_MS:
                 # Told like an idle one, it would take the engine for silent.
                 self._next_at_ms = 0
             known.used_at_ms = now_ms
 
-    def forget(self, now_ms: int) -> None:
+    def expire(self, now_ms: int) -> None:
         """Drops gateways that are gone."""
         self._gateways = {
             address: one
             for address, one in self._gateways.items()
-            if now_ms - one.heard_at_ms <= GATEWAY_MS
+            if now_ms - one.received_at_ms <= GATEWAY_TTL_MS
         }
         self._waiting &= self._gateways.keys()
 
-    def user_ms(self) -> int:
+    def active_interval_ms(self) -> int:
         """Returns how often users are told."""
-        crowd = len(self._gateways) / SMALL_CROWD
-        return round(min(max(1.0, crowd) * USER_MS, USER_SELDOM_MS))
+        scale = len(self._gateways) / SMALL_GATEWAY_COUNT
+        return round(
+            min(max(1.0, scale) * ACTIVE_UPDATE_MS, MAX_ACTIVE_UPDATE_MS)
+        )
 
-    def idle_ms(self) -> int:
+    def idle_interval_ms(self) -> int:
         """Returns how often gateways are told that do not use the engine."""
-        crowd = len(self._gateways) / SMALL_CROWD
-        return round(min(max(1.0, crowd) * USER_MS, IDLE_MS))
+        scale = len(self._gateways) / SMALL_GATEWAY_COUNT
+        return round(min(max(1.0, scale) * ACTIVE_UPDATE_MS, IDLE_UPDATE_MS))
 
-    def _every_ms(self, one: _Gateway, now_ms: int) -> int:
-        if now_ms - one.used_at_ms <= USING_MS:
-            return self.user_ms()
-        return self.idle_ms()
+    def _interval_ms(self, one: _Gateway, now_ms: int) -> int:
+        if now_ms - one.used_at_ms <= ACTIVE_MS:
+            return self.active_interval_ms()
+        return self.idle_interval_ms()
 
     def due(
         self, now_ms: int, *, changed: bool, held: frozenset[str]
-    ) -> list[Word]:
+    ) -> list[Recipients]:
         """Returns the gateways to update now.
 
         Args:
@@ -161,25 +163,25 @@
         Returns:
             Words to be told; those that they go to count as told.
         """
-        at_once = self._told_at_once(changed=changed, held=held)
+        due = self._due_immediately(changed=changed, held=held)
         if now_ms >= self._next_at_ms:
-            at_once |= self._regular(now_ms)
-        promises: dict[int, list[Address]] = {}
-        for address in sorted(at_once):
+            due |= self._due_by_interval(now_ms)
+        by_interval: dict[int, list[Address]] = {}
+        for address in sorted(due):
             one = self._gateways[address]
-            one.told_at_ms = now_ms
-            every_ms = self._every_ms(one, now_ms)
-            promises.setdefault(every_ms, []).append(address)
+            one.updated_at_ms = now_ms
+            interval_ms = self._interval_ms(one, now_ms)
+            by_interval.setdefault(interval_ms, []).append(address)
         return [
-            Word(tuple(addresses), every_ms)
-            for every_ms, addresses in promises.items()
+            Recipients(tuple(addresses), interval_ms)
+            for interval_ms, addresses in by_interval.items()
         ]
 
-    def _told_at_once(
+    def _due_immediately(
         self, *, changed: bool, held: frozenset[str]
     ) -> set[Address]:
         """Returns those that are told whether or not it is their turn."""
-        if changed and len(self._gateways) <= SMALL_CROWD:
+        if changed and len(self._gateways) <= SMALL_GATEWAY_COUNT:
             return set(self._gateways)
         if changed:
             return set(self._waiting)
@@ -189,18 +191,18 @@
             if not self._gateways[address].waits.isdisjoint(held)
         }
 
-    def _regular(self, now_ms: int) -> set[Address]:
+    def _due_by_interval(self, now_ms: int) -> set[Address]:
         """Returns the gateways that are due, and when the next one is.
 
         All gateways are weighed only when one is due: tens of looks at an
         engine a second, over hundreds of gateways, would be most of what the
         process does.
         """
-        self.forget(now_ms)
+        self.expire(now_ms)
         due = set()
-        next_at_ms = now_ms + self.user_ms()
+        next_at_ms = now_ms + self.active_interval_ms()
         for address, one in self._gateways.items():
-            due_at_ms = one.told_at_ms + self._every_ms(one, now_ms)
+            due_at_ms = one.updated_at_ms + self._interval_ms(one, now_ms)
             if now_ms >= due_at_ms:
                 due.add(address)
             else:
@@ -208,14 +210,14 @@
         self._next_at_ms = next_at_ms
         return due
 
-    def take_names(self) -> tuple[str, ...]:
+    def next_names(self) -> tuple[str, ...]:
         """Returns the gateways that the next update names."""
         names = sorted({one.peer_address for one in self._gateways.values()})
-        if len(names) <= NAMES_PER_WORD:
+        if len(names) <= NAMES_PER_UPDATE:
             return tuple(names)
-        first = self._named % len(names)
-        self._named = first + NAMES_PER_WORD
+        first = self._name_offset % len(names)
+        self._name_offset = first + NAMES_PER_UPDATE
         window = itertools.islice(
-            itertools.cycle(names), first, first + NAMES_PER_WORD
+            itertools.cycle(names), first, first + NAMES_PER_UPDATE
         )
         return tuple(window)
--- a/packages/radishstack/src/radishstack/process/availability.py
+++ b/packages/radishstack/src/radishstack/process/availability.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Absence:
+class Outage:
     """A time in which a dependency may have served nobody.
 
     Attributes:
@@ -22,14 +22,14 @@
 
     def __init__(self) -> None:
         """Starts never having heard it."""
-        self._heard_at_ms = 0
+        self._last_answer_at_ms = 0
         self._failed = False
 
     def failed(self) -> None:
         """Notes a call that was refused or not answered in time."""
         self._failed = True
 
-    def broke_off(self, now_ms: int) -> None:
+    def connection_broken(self, now_ms: int) -> None:
         """Notes a call that ended with its connection.
 
         The first one shows that the dependency, or its host, was there until
@@ -37,10 +37,10 @@
         are one, which began with the first.
         """
         if not self._failed:
-            self._heard_at_ms = now_ms
+            self._last_answer_at_ms = now_ms
         self._failed = True
 
-    def answered(self, now_ms: int, *, late: bool) -> Absence | None:
+    def answered(self, now_ms: int, *, late: bool) -> Outage | None:
         """Notes an answer.
 
         Args:
@@ -50,7 +50,7 @@
         Returns:
             The absence that ends with it, if there may have been one.
         """
-        away_ms, failed = now_ms - self._heard_at_ms, self._failed
-        self._heard_at_ms = now_ms
+        away_ms, failed = now_ms - self._last_answer_at_ms, self._failed
+        self._last_answer_at_ms = now_ms
         self._failed = False
-        return Absence(away_ms, failed) if failed or late else None
+        return Outage(away_ms, failed) if failed or late else None
--- a/packages/radishstack/src/radishstack/process/demand_table.py
+++ b/packages/radishstack/src/radishstack/process/demand_table.py
@@ -6,29 +6,31 @@
 
 # A load request for a further copy, for which no caller waits, is renewed by
 # each request that the busy holder gets; without one it is dropped.
-COPY_MS = 300
+COPY_REQUEST_TTL_MS = 300
 
 
 @dataclasses.dataclass(slots=True)
-class _Waits:
+class _WaitingRequests:
     """The requests that wait for one adapter."""
 
     version: int = 0
     due_at_ms: list[int] = dataclasses.field(default_factory=list)
 
-    def want(self, adapter: str, now_ms: int) -> adapter_keeper.Want:
+    def load_request(
+        self, adapter: str, now_ms: int
+    ) -> adapter_keeper.LoadRequest:
         """Returns what is told of them."""
-        return adapter_keeper.Want(
+        return adapter_keeper.LoadRequest(
             adapter,
             self.version,
             len(self.due_at_ms),
-            _left_ms(min(self.due_at_ms), now_ms),
-            _left_ms(max(self.due_at_ms), now_ms),
+            _remaining_ms(min(self.due_at_ms), now_ms),
+            _remaining_ms(max(self.due_at_ms), now_ms),
         )
 
 
-def _left_ms(due_at_ms: int, now_ms: int) -> int:
-    if due_at_ms == adapter_keeper.NOT_DUE_MS:
+def _remaining_ms(due_at_ms: int, now_ms: int) -> int:
+    if due_at_ms == adapter_keeper.NEVER_DUE_MS:
         return due_at_ms
     return due_at_ms - now_ms
 
@@ -41,8 +43,8 @@
         self._in_flight: dict[str, int] = {}
         self._sent: dict[str, int] = {}
         self._copies: dict[str, tuple[int, int]] = {}
-        self._waits: dict[str, _Waits] = {}
-        self._told_some = False
+        self._waiting: dict[str, _WaitingRequests] = {}
+        self._reported_any = False
 
     def began(self, adapter: str) -> None:
         """Counts a request that is sent."""
@@ -55,9 +57,9 @@
         Returns:
             Whether none uses the adapter any more.
         """
-        left = self._in_flight.get(adapter, 0) - 1
-        if left > 0:
-            self._in_flight[adapter] = left
+        remaining = self._in_flight.get(adapter, 0) - 1
+        if remaining > 0:
+            self._in_flight[adapter] = remaining
             return False
         self._in_flight.pop(adapter, None)
         return True
@@ -65,22 +67,22 @@
     @property
     def busy(self) -> bool:
         """Whether requests are under way or wait."""
-        return bool(self._in_flight or self._waits)
+        return bool(self._in_flight or self._waiting)
 
     @property
-    def has_news(self) -> bool:
+    def has_update(self) -> bool:
         """Whether there is anything to tell.
 
         That nothing is used any more is news too: untold, the adapter that
         was used last would keep its place for as long as it is believed.
         """
-        return self.busy or bool(self._sent) or self._told_some
+        return self.busy or bool(self._sent) or self._reported_any
 
     def wait(
         self,
         adapter: str,
         version: int,
-        due_at_ms: int = adapter_keeper.NOT_DUE_MS,
+        due_at_ms: int = adapter_keeper.NEVER_DUE_MS,
     ) -> bool:
         """Counts a request that waits.
 
@@ -92,33 +94,35 @@
         Returns:
             Whether it is the first that waits for it.
         """
-        waits = self._waits.setdefault(adapter, _Waits())
-        waits.version = max(waits.version, version)
-        waits.due_at_ms.append(due_at_ms)
-        return len(waits.due_at_ms) == 1
+        waiting = self._waiting.setdefault(adapter, _WaitingRequests())
+        waiting.version = max(waiting.version, version)
+        waiting.due_at_ms.append(due_at_ms)
+        return len(waiting.due_at_ms) == 1
 
-    def waits_no_more(
-        self, adapter: str, due_at_ms: int = adapter_keeper.NOT_DUE_MS
+    def stop_waiting(
+        self, adapter: str, due_at_ms: int = adapter_keeper.NEVER_DUE_MS
     ) -> bool:
         """Counts one that waits no more; returns whether none is left."""
-        waits = self._waits.get(adapter)
-        if waits is None:
+        waiting = self._waiting.get(adapter)
+        if waiting is None:
             return True
-        waits.due_at_ms.remove(due_at_ms)
-        if waits.due_at_ms:
+        waiting.due_at_ms.remove(due_at_ms)
+        if waiting.due_at_ms:
             return False
-        del self._waits[adapter]
+        del self._waiting[adapter]
         return True
 
-    def copy(self, adapter: str, version: int, now_ms: int) -> bool:
+    def request_copy(self, adapter: str, version: int, now_ms: int) -> bool:
         """Asks for a further copy; returns whether this is a new wish."""
         known = self._copies.get(adapter)
-        self._copies[adapter] = (version, now_ms + COPY_MS)
+        self._copies[adapter] = (version, now_ms + COPY_REQUEST_TTL_MS)
         return known is None or known[0] != version or known[1] < now_ms
 
     def take(
         self, now_ms: int
-    ) -> tuple[tuple[adapter_keeper.Use, ...], tuple[adapter_keeper.Want, ...]]:
+    ) -> tuple[
+        tuple[adapter_keeper.Use, ...], tuple[adapter_keeper.LoadRequest, ...]
+    ]:
         """Returns what is to be sent now; counts of sends begin anew."""
         names = self._in_flight.keys() | self._sent.keys()
         uses = tuple(
@@ -133,13 +137,14 @@
             for name, copy in self._copies.items()
             if copy[1] >= now_ms
         }
-        wants = [
-            waits.want(name, now_ms) for name, waits in self._waits.items()
+        load_requests = [
+            waiting.load_request(name, now_ms)
+            for name, waiting in self._waiting.items()
         ]
-        wants += [
-            adapter_keeper.Want(name, version)
+        load_requests += [
+            adapter_keeper.LoadRequest(name, version)
             for name, (version, _) in self._copies.items()
-            if name not in self._waits
+            if name not in self._waiting
         ]
-        self._told_some = bool(uses or wants)
-        return uses, tuple(wants)
+        self._reported_any = bool(uses or load_requests)
+        return uses, tuple(load_requests)
--- a/packages/radishstack/src/radishstack/process/fair_queue.py
+++ b/packages/radishstack/src/radishstack/process/fair_queue.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedAttempt:
     """One queued attempt.
 
     Attributes:
@@ -46,12 +46,12 @@
 
     def __init__(self) -> None:
         """Starts empty."""
-        self._entries: dict[bytes, Waiting] = {}
-        self._by_customer: dict[str, dict[bytes, Waiting]] = {}
+        self._entries: dict[bytes, QueuedAttempt] = {}
+        self._by_customer: dict[str, dict[bytes, QueuedAttempt]] = {}
         self._by_service: dict[str, int] = {}
-        self._by_adapter: dict[str, dict[bytes, Waiting]] = {}
-        self._virtual: dict[str, float] = {}
-        self._floor = 0.0
+        self._by_adapter: dict[str, dict[bytes, QueuedAttempt]] = {}
+        self._virtual_times: dict[str, float] = {}
+        self._virtual_clock = 0.0
 
     def __len__(self) -> int:
         """How many attempts wait."""
@@ -61,7 +61,7 @@
         """Whether an attempt waits."""
         return attempt_id in self._entries
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedAttempt]:
         """Iterates over all that wait, oldest first."""
         return iter(tuple(self._entries.values()))
 
@@ -73,7 +73,7 @@
         """Returns how many attempts of a service wait."""
         return self._by_service.get(service, 0)
 
-    def waiting_for(self, adapter: str) -> tuple[Waiting, ...]:
+    def waiting_for(self, adapter: str) -> tuple[QueuedAttempt, ...]:
         """Returns the attempts that wait for an adapter, oldest first."""
         return tuple(self._by_adapter.get(adapter, {}).values())
 
@@ -81,15 +81,15 @@
         """Returns the adapters that attempts wait for."""
         return tuple(adapter for adapter in self._by_adapter if adapter)
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedAttempt) -> None:
         """Adds an attempt."""
         customer = waiting.customer
         own = self._by_customer.setdefault(customer, {})
         if not own:
             # A customer that comes back from idleness starts level with the
             # others instead of spending all the turns it never asked for.
-            behind = self._virtual.get(customer, 0.0)
-            self._virtual[customer] = max(behind, self._floor)
+            behind = self._virtual_times.get(customer, 0.0)
+            self._virtual_times[customer] = max(behind, self._virtual_clock)
         own[waiting.attempt_id] = waiting
         self._entries[waiting.attempt_id] = waiting
         self._by_service[waiting.service] = (
@@ -98,7 +98,7 @@
         by_adapter = self._by_adapter.setdefault(waiting.adapter, {})
         by_adapter[waiting.attempt_id] = waiting
 
-    def remove(self, attempt_id: bytes) -> Waiting | None:
+    def remove(self, attempt_id: bytes) -> QueuedAttempt | None:
         """Removes an attempt without giving it a turn."""
         waiting = self._entries.pop(attempt_id, None)
         if waiting is None:
@@ -114,8 +114,8 @@
         return waiting
 
     def pop(
-        self, can_run: Callable[[Waiting], bool], now_ms: int
-    ) -> Waiting | None:
+        self, can_run: Callable[[QueuedAttempt], bool], now_ms: int
+    ) -> QueuedAttempt | None:
         """Gives the next turn.
 
         Args:
@@ -126,13 +126,13 @@
         Returns:
             The attempt whose turn it is, or None if none can run.
         """
-        best: Waiting | None = None
+        best: QueuedAttempt | None = None
         best_order: tuple[int, float, int] | None = None
         for customer, own in self._by_customer.items():
             for waiting in own.values():
                 order = (
                     effective_rank(waiting, now_ms),
-                    self._virtual[customer],
+                    self._virtual_times[customer],
                     waiting.enqueued_at_ms,
                 )
                 if best_order is not None and order >= best_order:
@@ -142,21 +142,23 @@
         if best is None:
             return None
         self.remove(best.attempt_id)
-        self._floor = max(self._floor, self._virtual[best.customer])
-        self._virtual[best.customer] += 1.0 / best.share
-        if len(self._virtual) > 4 * len(self._by_customer) + 64:
+        self._virtual_clock = max(
+            self._virtual_clock, self._virtual_times[best.customer]
+        )
+        self._virtual_times[best.customer] += 1.0 / best.share
+        if len(self._virtual_times) > 4 * len(self._by_customer) + 64:
             self._forget_idle()
         return best
 
     def _forget_idle(self) -> None:
-        self._virtual = {
+        self._virtual_times = {
             customer: value
-            for customer, value in self._virtual.items()
-            if customer in self._by_customer or value > self._floor
+            for customer, value in self._virtual_times.items()
+            if customer in self._by_customer or value > self._virtual_clock
         }
 
 
-def effective_rank(waiting: Waiting, now_ms: int) -> int:
+def effective_rank(waiting: QueuedAttempt, now_ms: int) -> int:
     """Returns the class of an attempt after what it has waited."""
     waited_ms = now_ms - waiting.enqueued_at_ms
     return max(0, waiting.rank - waited_ms // AGING_MS)
--- a/packages/radishstack/src/radishstack/process/forecast.py
+++ b/packages/radishstack/src/radishstack/process/forecast.py
@@ -49,5 +49,7 @@
         Returns:
             Milliseconds, within sane bounds.
         """
-        drawn = base_ms * self._random.uniform(0.5, 1.5)
-        return round(min(max(drawn, RETRY_AFTER_MIN_MS), RETRY_AFTER_MAX_MS))
+        jittered_ms = base_ms * self._random.uniform(0.5, 1.5)
+        return round(
+            min(max(jittered_ms, RETRY_AFTER_MIN_MS), RETRY_AFTER_MAX_MS)
+        )
--- a/packages/radishstack/src/radishstack/process/placement.py
+++ b/packages/radishstack/src/radishstack/process/placement.py
@@ -23,7 +23,7 @@
 # A copy elsewhere is worth its load, and the place that it takes from another
 # adapter, once some fifty requests run at the holders; earlier copies push out
 # what others need.
-SPREAD_ABOVE_MS = 320.0
+REPLICATION_THRESHOLD_MS = 320.0
 # An engine this late takes no more: sixty run, or fewer and some wait. It
 # reads prompts one after the other, so what is added starts later than its
 # caller has use for, and delays all others.
@@ -32,23 +32,23 @@
 OVERLOADED_RETRY_MS = 500
 # Share of failures above which an engine's adapters are loaded elsewhere: two
 # of the last three sends, or half of the last ten.
-STRAINED_SHARE = 0.4
+DEGRADED_FAILURE_SHARE = 0.4
 # A failed send costs the caller a new attempt, about one objective.
 FAILURE_COST_MS = 800.0
-FAR_COST_MS = 3.0
+CROSS_DOMAIN_COST_MS = 3.0
 # A target process tells its state several times in this time. One that was
 # not heard for longer is gone or its whole VM is paused; it gets no load
 # requests, and its engine no requests that another could take. Where it is
 # told seldom it counts as silent once two words that it promised are missing.
-SILENT_MS = 700
-SILENT_WORDS = 2
-SILENT_MARGIN_MS = 40
+STALE_MS = 700
+MISSED_UPDATES = 2
+STALE_MARGIN_MS = 40
 # An engine, or a plain target, that has left a request without a first byte
 # for this long is not like the others: nine in ten answer sooner. What it is
 # silent above this counts against it.
-ENGINE_PATIENCE_MS = 800
-PLAIN_PATIENCE_MS = 250
-SILENCE_WEIGHT = 2.0
+ENGINE_FIRST_BYTE_MS = 800
+PLAIN_FIRST_BYTE_MS = 250
+SLOW_FIRST_BYTE_WEIGHT = 2.0
 # Wait at a home, in fetches, above which a load is left to the next engine in
 # the order: a longer wait keeps adapters to fewer engines, a shorter one
 # spreads a rush.
@@ -62,11 +62,11 @@
 # A load counts as in time if it is predicted to take at most this part of what
 # its caller has: the prediction errs, and what is in time by a hair is passed
 # over once it is late, so that its caller would wait in vain.
-LOAD_PATIENCE_PART = 0.75
+IN_TIME_FRACTION = 0.75
 # A load that comes late, but within this part of the time for which the
 # request may wait at all, is waited for: to come back would cost its caller
 # more, and where loads are due in order it delays nobody who is in time.
-HELD_PART = 1 / 3
+LATE_WAIT_FRACTION = 1 / 3
 # How long an older version still serves while the new one is loaded. The
 # platform's bound is longer by the time that a request may wait.
 OLD_VERSION_MS = 2_500
@@ -97,18 +97,18 @@
     """
 
     instance: str
-    heard_at_ms: int
+    received_at_ms: int
     running: int
     queued: int
     residents: dict[str, int]
     pending: frozenset[str]
     own_in_flight: int = 0
     load_wait: adapter_keeper.LoadWait = adapter_keeper.LoadWait(0, 0.0)
-    own_wishes: int = 0
+    own_load_requests: int = 0
     adapter_limit: int = 16
     born_ms: int = 0
     next_ms: int = 0
-    asked_at_ms: int = 0
+    notified_at_ms: int = 0
     recent: tuple[str, ...] = ()
 
     @property
@@ -116,16 +116,16 @@
         """The start of the engine that it spoke of."""
         return incarnation.Start(self.instance, self.born_ms)
 
-    def is_silent(self, now_ms: int) -> bool:
+    def is_stale(self, now_ms: int) -> bool:
         """Whether its next word is overdue.
 
         A gateway that begins to use an engine would otherwise send to one
         that stands still for as long as the idle are told seldom.
         """
-        if self.asked_at_ms and now_ms - self.asked_at_ms > SILENT_MS:
+        if self.notified_at_ms and now_ms - self.notified_at_ms > STALE_MS:
             return True
-        promised_ms = SILENT_WORDS * self.next_ms + SILENT_MARGIN_MS
-        return now_ms - self.heard_at_ms > max(SILENT_MS, promised_ms)
+        promised_ms = MISSED_UPDATES * self.next_ms + STALE_MARGIN_MS
+        return now_ms - self.received_at_ms > max(STALE_MS, promised_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -161,7 +161,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Patience:
+class WaitLimits:
     """How long a request may wait for a load.
 
     Attributes:
@@ -172,12 +172,12 @@
     """
 
     in_time_ms: float
-    at_all_ms: float
+    max_wait_ms: float
     is_late: bool = False
 
 
 # Of a request of which nothing else is known.
-DEFAULT_PATIENCE = Patience(800.0, 800.0)
+DEFAULT_WAIT_LIMITS = WaitLimits(800.0, 800.0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -201,20 +201,24 @@
 class Placement:
     """Residency and load of the targets, as one gateway believes them."""
 
-    def __init__(self, random_source: random.Random, near: str) -> None:
+    def __init__(
+        self, random_source: random.Random, failure_domain: str
+    ) -> None:
         """Starts knowing nothing.
 
         Args:
             random_source: Breaks ties, so that gateways do not herd.
-            near: This process' failure domain.
+            failure_domain: This process' failure domain.
         """
         self.views: dict[str, View] = {}
         self.warm: dict[str, dict[str, None]] = {}
         self.announced: dict[str, Announced] = {}
         self._random = random_source
-        self._near = near
+        self._failure_domain = failure_domain
 
-    def announce(self, adapter: str, version: int, now_ms: int) -> bool:
+    def record_announcement(
+        self, adapter: str, version: int, now_ms: int
+    ) -> bool:
         """Learns of a new version; returns whether it is news.
 
         New weights of a base model come with new starts of its engines:
@@ -230,7 +234,7 @@
         self.announced[adapter] = Announced(version, now_ms, before)
         return True
 
-    def hear(self, address: str, view: View) -> None:
+    def handle_update(self, address: str, view: View) -> None:
         """Applies a sidecar's status update, keyed by the target's address."""
         before = self.views.get(address)
         if before is None or before.start.is_other(view.start):
@@ -241,7 +245,7 @@
             # The one held last goes last, so that the oldest is dropped.
             warm.pop(adapter, None)
             warm[adapter] = None
-        while len(warm) > adapter_keeper.WARM_PER_PLACE * view.adapter_limit:
+        while len(warm) > adapter_keeper.WARM_PER_SLOT * view.adapter_limit:
             del warm[next(iter(warm))]
 
     def forget(self, now_ms: int, keep_ms: int) -> None:
@@ -249,10 +253,10 @@
         self.views = {
             address: view
             for address, view in self.views.items()
-            if now_ms - view.heard_at_ms < keep_ms
+            if now_ms - view.received_at_ms < keep_ms
         }
 
-    def disbelieve(self, member: roster_lib.Member, adapter: str) -> None:
+    def mark_absent(self, member: roster_lib.Member, adapter: str) -> None:
         """Records that a target does not hold an adapter."""
         view = self.view_of(member)
         if view is not None:
@@ -276,13 +280,13 @@
             return None
         return view
 
-    def asked(self, member: roster_lib.Member, now_ms: int) -> None:
+    def note_demand_sent(self, member: roster_lib.Member, now_ms: int) -> None:
         """Notes that a target process was told of uses or load requests."""
         view = self.view_of(member)
-        if view is not None and not view.asked_at_ms:
-            view.asked_at_ms = now_ms
+        if view is not None and not view.notified_at_ms:
+            view.notified_at_ms = now_ms
 
-    def outdated(self, member: roster_lib.Member) -> dict[str, int]:
+    def newer_versions(self, member: roster_lib.Member) -> dict[str, int]:
         """Returns newer versions of what a target holds in an older one.
 
         They are all that its process needs to be told of versions: told all
@@ -298,53 +302,53 @@
                 newer[adapter] = announced.version
         return newer
 
-    def is_heard(self, member: roster_lib.Member, now_ms: int) -> bool:
+    def has_fresh_status(self, member: roster_lib.Member, now_ms: int) -> bool:
         """Whether the process beside this start was heard lately."""
         view = self.view_of(member)
-        return view is not None and not view.is_silent(now_ms)
+        return view is not None and not view.is_stale(now_ms)
 
-    def _is_silent(self, member: roster_lib.Member, now_ms: int) -> bool:
+    def _is_stale(self, member: roster_lib.Member, now_ms: int) -> bool:
         view = self.views.get(member.listing.address)
-        return view is not None and view.is_silent(now_ms)
+        return view is not None and view.is_stale(now_ms)
 
     def residents(
         self, member: roster_lib.Member, now_ms: int
     ) -> Mapping[str, int]:
         """Returns what a target is believed to hold."""
         view = self.view_of(member)
-        if view is None or view.is_silent(now_ms):
+        if view is None or view.is_stale(now_ms):
             return member.listing.residents
         return view.residents
 
-    def _load_ms(self, member: roster_lib.Member, now_ms: int) -> float:
+    def _queueing_ms(self, member: roster_lib.Member, now_ms: int) -> float:
         """Estimates the wait that other requests at a target cause."""
         health = member.health
         view = self.view_of(member)
         running, queued = health.in_flight, 0
-        if view is not None and not view.is_silent(now_ms):
+        if view is not None and not view.is_stale(now_ms):
             # What was sent and ended since the word does not count: with
             # short requests it would pass for a load that is not there.
-            since = health.in_flight - view.own_in_flight
-            running = max(running, view.running + since)
+            sent_since = health.in_flight - view.own_in_flight
+            running = max(running, view.running + sent_since)
             queued = view.queued
         slots = max(1, member.listing.slot_count)
-        load_ms = REQUEST_COST_MS * running
+        queueing_ms = REQUEST_COST_MS * running
         # How many wait is the engine's word, or what is certain from here;
         # the estimate of what runs is too rough to tell a full batch.
         queued += max(0, health.in_flight - slots)
-        load_ms += QUEUED_COST_MS * queued
-        silent_ms = health.silent_ms(now_ms) - ENGINE_PATIENCE_MS
-        return load_ms + SILENCE_WEIGHT * max(0, silent_ms)
+        queueing_ms += QUEUED_COST_MS * queued
+        slow_ms = health.silent_ms(now_ms) - ENGINE_FIRST_BYTE_MS
+        return queueing_ms + SLOW_FIRST_BYTE_WEIGHT * max(0, slow_ms)
 
     def cost_ms(self, member: roster_lib.Member, now_ms: int) -> float:
         """Estimates how much later than at an idle target a request starts."""
-        cost_ms = self._load_ms(member, now_ms)
+        cost_ms = self._queueing_ms(member, now_ms)
         cost_ms += FAILURE_COST_MS * member.health.failure_share
-        if member.listing.failure_domain != self._near:
-            cost_ms += FAR_COST_MS
+        if member.listing.failure_domain != self._failure_domain:
+            cost_ms += CROSS_DOMAIN_COST_MS
         return cost_ms
 
-    def plain(
+    def choose_plain(
         self,
         usable: list[roster_lib.Member],
         now_ms: int,
@@ -366,8 +370,8 @@
             slots = max(1, member.listing.slot_count)
             cost_ms = latency_ms * (1 + health.in_flight / slots)
             cost_ms += FAILURE_COST_MS * health.failure_share
-            silent_ms = health.silent_ms(now_ms) - PLAIN_PATIENCE_MS
-            cost_ms += SILENCE_WEIGHT * max(0, silent_ms)
+            slow_ms = health.silent_ms(now_ms) - PLAIN_FIRST_BYTE_MS
+            cost_ms += SLOW_FIRST_BYTE_WEIGHT * max(0, slow_ms)
             cost_ms *= self._random.uniform(0.9, 1.1)
             if best is None or cost_ms < best_ms:
                 best, best_ms = member, cost_ms
@@ -378,7 +382,7 @@
         adapter: str,
         candidates: list[roster_lib.Member],
         now_ms: int,
-        patience: Patience = DEFAULT_PATIENCE,
+        wait_limits: WaitLimits = DEFAULT_WAIT_LIMITS,
     ) -> Choice:
         """Chooses for a request that needs an adapter.
 
@@ -386,7 +390,7 @@
             adapter: The adapter.
             candidates: Targets that may get the request.
             now_ms: Now.
-            patience: How long the request may wait.
+            wait_limits: How long the request may wait.
 
         Returns:
             Where to send it, and where to have the adapter loaded.
@@ -394,28 +398,28 @@
         if not candidates:
             return Choice(None, None)
         announced = self.announced.get(adapter)
-        floor = announced.version if announced is not None else 0
-        best = self._cheapest(adapter, candidates, floor, now_ms)
+        min_version = announced.version if announced is not None else 0
+        best = self._cheapest(adapter, candidates, min_version, now_ms)
         if best is not None and self._is_overloaded(best, now_ms):
-            home = self._home(adapter, candidates, floor, now_ms)
-            if home is None or self._is_full(home, adapter, patience):
+            home = self._home(adapter, candidates, min_version, now_ms)
+            if home is None or self._is_full(home, adapter, wait_limits):
                 return Choice(None, None, full_for_ms=OVERLOADED_RETRY_MS)
             return Choice(None, home)
         if best is not None:
             held = self.residents(best, now_ms).get(adapter, 0)
-            silent = self._is_silent(best, now_ms)
-            if not silent and not self._is_strained(best, now_ms):
-                return Choice(best, None, held if floor else 0)
-            home = self._home(adapter, candidates, floor, now_ms)
-            if silent and home is not None:
+            stale = self._is_stale(best, now_ms)
+            if not stale and not self._is_degraded(best, now_ms):
+                return Choice(best, None, held if min_version else 0)
+            home = self._home(adapter, candidates, min_version, now_ms)
+            if stale and home is not None:
                 # A frozen VM would keep the request past its deadline; a
                 # load elsewhere takes a moment.
                 return Choice(None, home)
-            if home is not None and self._is_strained(home, now_ms):
+            if home is not None and self._is_degraded(home, now_ms):
                 # Where all are strained alike a copy is a fetch for nothing.
                 home = None
-            return Choice(best, home, held if floor else 0)
-        home = self._home(adapter, candidates, floor, now_ms)
+            return Choice(best, home, held if min_version else 0)
+        home = self._home(adapter, candidates, min_version, now_ms)
         if announced is not None:
             oldest = announced.oldest_served(now_ms)
             old = self._cheapest(adapter, candidates, oldest, now_ms)
@@ -424,7 +428,7 @@
                 # the wait for a replacement, which begins only when all
                 # runs on the old one have ended.
                 return Choice(old, home)
-        if home is not None and self._is_full(home, adapter, patience):
+        if home is not None and self._is_full(home, adapter, wait_limits):
             return Choice(None, None, full_for_ms=self._full_for_ms(home))
         if home is None and self._any_overloaded(candidates, now_ms):
             # The first engine that is back after a restart of all would get
@@ -441,13 +445,13 @@
         """Predicts how long a load takes that is wished now."""
         view = self.views[address]
         wait = view.load_wait
-        return wait.wait_ms + wait.gap_ms * view.own_wishes
+        return wait.wait_ms + wait.gap_ms * view.own_load_requests
 
     def _in_time_ms(self, address: str) -> float:
         """Predicts the same, ahead of loads that come too late anyway."""
         view = self.views[address]
         wait = view.load_wait
-        return wait.in_time_ms + wait.gap_ms * view.own_wishes
+        return wait.in_time_ms + wait.gap_ms * view.own_load_requests
 
     def _queue_ms(self, address: str) -> float:
         """Predicts how long a load would wait before it is begun."""
@@ -459,7 +463,7 @@
         return self.views[address].load_wait.fetch_ms or FIRST_FETCH_MS
 
     def _is_full(
-        self, home: roster_lib.Member, adapter: str, patience: Patience
+        self, home: roster_lib.Member, adapter: str, wait_limits: WaitLimits
     ) -> bool:
         """Whether a load at its home comes too late for a request.
 
@@ -468,53 +472,55 @@
         refusal. Where they have none it is told at once.
         """
         address = home.listing.address
-        if patience.is_late:
-            return self.load_wait_ms(address) > patience.at_all_ms
+        if wait_limits.is_late:
+            return self.load_wait_ms(address) > wait_limits.max_wait_ms
         if adapter in self.views[address].pending:
             return False
-        in_time_ms = LOAD_PATIENCE_PART * patience.in_time_ms
-        if self._in_time_ms(address) <= in_time_ms:
+        on_time_ms = IN_TIME_FRACTION * wait_limits.in_time_ms
+        if self._in_time_ms(address) <= on_time_ms:
             return False
-        at_all_ms = HELD_PART * patience.at_all_ms
-        return self.load_wait_ms(address) > at_all_ms
+        late_wait_ms = LATE_WAIT_FRACTION * wait_limits.max_wait_ms
+        return self.load_wait_ms(address) > late_wait_ms
 
     def _full_for_ms(self, home: roster_lib.Member) -> int:
         return round(self.load_wait_ms(home.listing.address))
 
     def _is_overloaded(self, member: roster_lib.Member, now_ms: int) -> bool:
-        return self._load_ms(member, now_ms) > OVERLOADED_MS
+        return self._queueing_ms(member, now_ms) > OVERLOADED_MS
 
-    def _pending(self, address: str) -> int:
+    def _pending_count(self, address: str) -> int:
         return len(self.views[address].pending)
 
-    def _is_strained(self, member: roster_lib.Member, now_ms: int) -> bool:
+    def _is_degraded(self, member: roster_lib.Member, now_ms: int) -> bool:
         """Whether a copy elsewhere is worth its load.
 
         A single failure is no reason: every adapter of that engine would be
         fetched again somewhere, and push out what others need.
         """
-        if member.health.failure_share > STRAINED_SHARE:
+        if member.health.failure_share > DEGRADED_FAILURE_SHARE:
             return True
-        return self._load_ms(member, now_ms) > SPREAD_ABOVE_MS
+        return self._queueing_ms(member, now_ms) > REPLICATION_THRESHOLD_MS
 
-    def wished(self, member: roster_lib.Member, adapter: str) -> None:
+    def record_load_request(
+        self, member: roster_lib.Member, adapter: str
+    ) -> None:
         """Notes a wish for a load, before the target's next word has it."""
         view = self.view_of(member)
         if view is not None and adapter not in view.pending:
             view.pending |= {adapter}
-            view.own_wishes += 1
+            view.own_load_requests += 1
 
     def _cheapest(
         self,
         adapter: str,
         candidates: list[roster_lib.Member],
-        floor: int,
+        min_version: int,
         now_ms: int,
     ) -> roster_lib.Member | None:
         holders = [
             member
             for member in candidates
-            if self.residents(member, now_ms).get(adapter, -1) >= floor
+            if self.residents(member, now_ms).get(adapter, -1) >= min_version
         ]
         if not holders:
             return None
@@ -527,64 +533,66 @@
         self,
         adapter: str,
         candidates: list[roster_lib.Member],
-        floor: int,
+        min_version: int,
         now_ms: int,
     ) -> roster_lib.Member | None:
-        by_name = {}
+        by_address = {}
         for member in candidates:
-            if not self.is_heard(member, now_ms):
+            if not self.has_fresh_status(member, now_ms):
                 continue
             view = self.views[member.listing.address]
             if adapter in view.pending:
                 return member
             held = view.residents.get(adapter, -1)
-            if held >= floor:
+            if held >= min_version:
                 continue
-            by_name[member.listing.address] = member
-        if not by_name:
+            by_address[member.listing.address] = member
+        if not by_address:
             return None
         base = adapter_keeper.base_of(adapter)
-        running = {
+        with_base_model = {
             address: member
-            for address, member in by_name.items()
+            for address, member in by_address.items()
             if base in self.views[address].residents
         }
         # An engine that is down, or has just restarted, holds no base model;
         # a load there would wait for seconds.
-        by_name = running or by_name
-        ordered = rendezvous.order(adapter, by_name)
-        stale = [
+        by_address = with_base_model or by_address
+        ordered = rendezvous.order(adapter, by_address)
+        outdated = [
             address
             for address in ordered
             if adapter in self.views[address].residents
         ]
-        fresh = [address for address in ordered if address not in stale]
+        without_adapter = [
+            address for address in ordered if address not in outdated
+        ]
         # An engine loads what it held lately ten times as fast, and without a
         # fetch from the weight store; a queue there is the shorter wait.
         warm = [
             address
-            for address in fresh
+            for address in without_adapter
             if adapter in self.warm.get(address, ())
             and len(self.views[address].pending) < MAX_QUEUED_LOADS
-            and not self._is_strained(by_name[address], now_ms)
+            and not self._is_degraded(by_address[address], now_ms)
         ]
         if warm:
-            return by_name[min(warm, key=self._pending)]
+            return by_address[min(warm, key=self._pending_count)]
         # A target that still serves the old version comes last: replacing
         # it there makes its callers wait.
-        for address in fresh + stale:
-            member = by_name[address]
+        for address in without_adapter + outdated:
+            member = by_address[address]
             if self._queue_ms(address) > HOME_WAIT_FETCHES * self._fetch_ms(
                 address
             ):
                 continue
-            if not self._is_strained(member, now_ms):
+            if not self._is_degraded(member, now_ms):
                 return member
-        able = [
+        accepting = [
             address
-            for address, member in by_name.items()
+            for address, member in by_address.items()
             if not self._is_overloaded(member, now_ms)
         ]
-        if not able:
+        if not accepting:
             return None
-        return by_name[min(able, key=self._pending)]
+        return by_address[min(accepting, key=self._pending_count)]
--- a/packages/radishstack/src/radishstack/process/popularity.py
+++ b/packages/radishstack/src/radishstack/process/popularity.py
@@ -4,7 +4,7 @@
 
 DEFAULT_HALF_LIFE_MS = 60_000
 FORGET_BELOW = 0.01
-SILENCE_WEIGHT = 0.5
+IDLE_WEIGHT = 0.5
 SWEEP_ABOVE = 4_096
 
 
@@ -55,8 +55,8 @@
         if entry is None:
             return 0.0
         rate = self.heat(adapter, now_ms) * self._decay_per_ms
-        silence_ms = now_ms - entry[1]
-        return rate * math.exp(-SILENCE_WEIGHT * rate * silence_ms)
+        idle_ms = now_ms - entry[1]
+        return rate * math.exp(-IDLE_WEIGHT * rate * idle_ms)
 
     def _sweep(self, now_ms: int) -> None:
         cold = [
--- a/packages/radishstack/src/radishstack/process/rendezvous.py
+++ b/packages/radishstack/src/radishstack/process/rendezvous.py
@@ -24,10 +24,10 @@
     """
     seed = xxhash.xxh3_64_intdigest(key.encode())
     digest = xxhash.xxh3_64_intdigest
-    weighed = ((digest(name.encode(), seed), name) for name in names)
+    weighted = ((digest(name.encode(), seed), name) for name in names)
     if limit is None:
-        return [name for _, name in sorted(weighed)]
-    return [name for _, name in heapq.nsmallest(limit, weighed)]
+        return [name for _, name in sorted(weighted)]
+    return [name for _, name in heapq.nsmallest(limit, weighted)]
 
 
 def first(key: str, names: Iterable[str]) -> str | None:
--- a/packages/radishstack/src/radishstack/process/residency.py
+++ b/packages/radishstack/src/radishstack/process/residency.py
@@ -18,7 +18,7 @@
 LOAD_ESTIMATE_WEIGHT = 0.3
 
 
-class Standing(enum.IntEnum):
+class AdapterState(enum.IntEnum):
     """Where an adapter stands at a target; the number goes on the wire."""
 
     ABSENT = 0
@@ -39,7 +39,7 @@
         order: Fencing number of the order that led here.
     """
 
-    standing: Standing
+    adapter_state: AdapterState
     since_ms: int
     grants: int = 0
     order: int = 0
@@ -77,15 +77,15 @@
         self.load_estimate_ms = float(LOAD_ESTIMATE_FIRST_MS)
         self.order = 0
 
-    def standing(self, adapter: str, now_ms: int) -> Standing:
+    def adapter_state(self, adapter: str, now_ms: int) -> AdapterState:
         """Returns where an adapter stands."""
         slot = self.slots.get(adapter)
         if slot is not None:
-            return slot.standing
+            return slot.adapter_state
         backoff = self.backoffs.get(adapter)
         if backoff is not None and now_ms < backoff.until_ms:
-            return Standing.FAILED
-        return Standing.ABSENT
+            return AdapterState.FAILED
+        return AdapterState.ABSENT
 
     def grant(self, adapter: str) -> Grant:
         """Grants a place on a resident adapter.
@@ -98,7 +98,7 @@
         """
         slot = self.slots.get(adapter)
         invariant.require(
-            slot is not None and slot.standing is Standing.RESIDENT,
+            slot is not None and slot.adapter_state is AdapterState.RESIDENT,
             result.DISPATCH_WRONG_ADAPTER,
             f"{adapter} is not resident",
         )
@@ -124,7 +124,8 @@
     def loading_count(self) -> int:
         """Returns how many loads are under way."""
         return sum(
-            slot.standing is Standing.LOADING for slot in self.slots.values()
+            slot.adapter_state is AdapterState.LOADING
+            for slot in self.slots.values()
         )
 
     def begin_load(self, adapter: str, now_ms: int) -> int:
@@ -139,10 +140,12 @@
             f"no slot to load {adapter} into",
         )
         self.order += 1
-        self.slots[adapter] = Slot(Standing.LOADING, now_ms, order=self.order)
+        self.slots[adapter] = Slot(
+            AdapterState.LOADING, now_ms, order=self.order
+        )
         return self.order
 
-    def awaits(self, adapter: str, order: int) -> bool:
+    def is_latest_order(self, adapter: str, order: int) -> bool:
         """Whether an order is the last one given for an adapter.
 
         The answer to an earlier one says nothing about the present: taken
@@ -155,15 +158,15 @@
     def loaded(self, adapter: str, order: int, now_ms: int) -> None:
         """Records that the engine completed a load."""
         slot = self.slots.get(adapter)
-        if not self.awaits(adapter, order):
+        if not self.is_latest_order(adapter, order):
             return
-        if slot.standing is not Standing.LOADING:
+        if slot.adapter_state is not AdapterState.LOADING:
             return
         took_ms = now_ms - slot.since_ms
         self.load_estimate_ms += LOAD_ESTIMATE_WEIGHT * (
             took_ms - self.load_estimate_ms
         )
-        slot.standing = Standing.RESIDENT
+        slot.adapter_state = AdapterState.RESIDENT
         slot.since_ms = now_ms
         self.backoffs.pop(adapter, None)
 
@@ -175,11 +178,11 @@
             budget of all others.
         """
         slot = self.slots.get(adapter)
-        if slot is not None and slot.standing is Standing.LOADING:
+        if slot is not None and slot.adapter_state is AdapterState.LOADING:
             del self.slots[adapter]
         failures = self.backoffs.get(adapter, Backoff(0, 0)).failures + 1
-        pause_ms = min(BACKOFF_FIRST_MS * 2 ** (failures - 1), BACKOFF_MAX_MS)
-        backoff = Backoff(failures, now_ms + pause_ms)
+        backoff_ms = min(BACKOFF_FIRST_MS * 2 ** (failures - 1), BACKOFF_MAX_MS)
+        backoff = Backoff(failures, now_ms + backoff_ms)
         self.backoffs[adapter] = backoff
         return backoff
 
@@ -192,33 +195,36 @@
         slot = self.slots.get(adapter)
         invariant.require(
             slot is not None
-            and slot.standing is Standing.RESIDENT
+            and slot.adapter_state is AdapterState.RESIDENT
             and slot.grants == 0,
             result.UNLOAD_WHILE_SERVING,
             f"unload of {adapter} with {slot.grants if slot else 'no'} grants",
         )
         self.order += 1
-        slot.standing = Standing.CLOSING
+        slot.adapter_state = AdapterState.CLOSING
         slot.since_ms = now_ms
         slot.order = self.order
         return self.order
 
     def unloaded(self, adapter: str, order: int) -> None:
         """Records that the engine completed an unload."""
-        awaited = self.awaits(adapter, order)
-        if awaited and self.slots[adapter].standing is Standing.CLOSING:
+        is_latest = self.is_latest_order(adapter, order)
+        if (
+            is_latest
+            and self.slots[adapter].adapter_state is AdapterState.CLOSING
+        ):
             del self.slots[adapter]
 
     def unload_failed(self, adapter: str, order: int, now_ms: int) -> None:
         """Opens an adapter again whose unload order was refused."""
         slot = self.slots.get(adapter)
-        if not self.awaits(adapter, order):
+        if not self.is_latest_order(adapter, order):
             return
-        if slot.standing is Standing.CLOSING:
-            slot.standing = Standing.RESIDENT
+        if slot.adapter_state is AdapterState.CLOSING:
+            slot.adapter_state = AdapterState.RESIDENT
             slot.since_ms = now_ms
 
-    def missing(self, grant: Grant) -> None:
+    def adapter_missing(self, grant: Grant) -> None:
         """Records that the engine does not hold an adapter.
 
         It restarted cold, and this is noticed before its new incarnation.
@@ -228,7 +234,7 @@
             grant.incarnation == self.incarnation
             and slot is not None
             and slot.grants == 0
-            and slot.standing is Standing.RESIDENT
+            and slot.adapter_state is AdapterState.RESIDENT
         ):
             del self.slots[grant.adapter]
 
@@ -254,10 +260,13 @@
         """
         lost = []
         for adapter, slot in list(self.slots.items()):
-            if slot.standing is Standing.RESIDENT and adapter not in resident:
+            if (
+                slot.adapter_state is AdapterState.RESIDENT
+                and adapter not in resident
+            ):
                 del self.slots[adapter]
                 lost.append(adapter)
         for adapter in sorted(resident):
             if adapter not in self.slots and self.free_slots() > 0:
-                self.slots[adapter] = Slot(Standing.RESIDENT, now_ms)
+                self.slots[adapter] = Slot(AdapterState.RESIDENT, now_ms)
         return lost
--- a/packages/radishstack/src/radishstack/process/routing.py
+++ b/packages/radishstack/src/radishstack/process/routing.py
@@ -13,7 +13,7 @@
 from radishstack import load as load_lib
 from radishstack.process import residency
 
-Standing = residency.Standing
+AdapterState = residency.AdapterState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
         """Starts knowing nothing."""
         self.settings = settings or RoutingSettings()
         self.observations: dict[str, Observation] = {}
-        self.residencies: dict[tuple[str, str], tuple[Standing, int]] = {}
+        self.residencies: dict[tuple[str, str], tuple[AdapterState, int]] = {}
         self.unreachable: dict[str, int] = {}
         self.listed_leaving: frozenset[str] = frozenset()
 
@@ -79,7 +79,9 @@
         self.observations[target] = Observation(load, now_ms)
         self.unreachable.pop(target, None)
         if adapter:
-            self._learn(target, adapter, Standing(load.residency), now_ms)
+            self._record_residency(
+                target, adapter, AdapterState(load.residency), now_ms
+            )
 
     def sent(self, target: str, adapter: str, now_ms: int) -> None:
         """Notes an attempt that was sent, so that the next one sees it."""
@@ -89,17 +91,23 @@
                 observation, sent=observation.sent + 1
             )
         known = self.residency(target, adapter, now_ms)
-        if adapter and known in (None, Standing.ABSENT):
-            self._learn(target, adapter, Standing.LOADING, now_ms)
+        if adapter and known in (None, AdapterState.ABSENT):
+            self._record_residency(
+                target, adapter, AdapterState.LOADING, now_ms
+            )
 
     def failed(self, target: str, now_ms: int) -> None:
         """Notes a target that could not be reached."""
         self.unreachable[target] = now_ms + self.settings.unreachable_ms
 
-    def _learn(
-        self, target: str, adapter: str, standing: Standing, now_ms: int
+    def _record_residency(
+        self,
+        target: str,
+        adapter: str,
+        adapter_state: AdapterState,
+        now_ms: int,
     ) -> None:
-        self.residencies[(target, adapter)] = (standing, now_ms)
+        self.residencies[(target, adapter)] = (adapter_state, now_ms)
 
     def forget_old(self, now_ms: int) -> None:
         """Drops what is no longer believed; called now and then."""
@@ -117,7 +125,7 @@
 
     def residency(
         self, target: str, adapter: str, now_ms: int
-    ) -> Standing | None:
+    ) -> AdapterState | None:
         """Returns where an adapter is believed to stand at a target."""
         known = self.residencies.get((target, adapter))
         if known is None or now_ms - known[1] > self.settings.remember_ms:
@@ -133,7 +141,7 @@
         observation = self.observations.get(target)
         return observation is None or not observation.load.leaving
 
-    def considered(
+    def shortlist(
         self, candidates: Iterable[str], adapter: str, now_ms: int
     ) -> list[str]:
         """Returns the candidates that are weighed for a request.
@@ -148,16 +156,19 @@
             adapter.
         """
         picked = []
-        with_room = 0
+        with_capacity = 0
         for target in candidates:
             if not self.usable(target, now_ms):
                 continue
             known = self.residency(target, adapter, now_ms)
-            if with_room < self.settings.width or known is Standing.RESIDENT:
+            if (
+                with_capacity < self.settings.width
+                or known is AdapterState.RESIDENT
+            ):
                 picked.append(target)
                 # A full target does not count, so that an adapter hotter
                 # than a few engines can carry spreads along the order.
-                with_room += not self._full(target)
+                with_capacity += not self._full(target)
         return picked
 
     def _full(self, target: str) -> bool:
@@ -165,14 +176,14 @@
         return observation is not None and observation.load.wait_ms > 0
 
     def to_probe(
-        self, considered: list[str], adapter: str, now_ms: int
+        self, shortlist: list[str], adapter: str, now_ms: int
     ) -> list[str]:
         """Returns the first few candidates whose word is not fresh.
 
         A word on the adapter itself counts, whatever it was asked for.
         """
         fresh_after_ms = now_ms - self.settings.fresh_ms
-        first = considered[: self.settings.probe_count]
+        first = shortlist[: self.settings.probe_count]
         return [
             target
             for target in first
@@ -183,7 +194,7 @@
 
     def rank(
         self,
-        considered: list[str],
+        shortlist: list[str],
         adapter: str,
         stall_weight: float,
         now_ms: int,
@@ -191,7 +202,7 @@
         """Orders candidates by expected cost.
 
         Args:
-            considered: What ``considered`` returned.
+            shortlist: What ``shortlist`` returned.
             adapter: ``name@version``, empty for a plain service.
             stall_weight: The service's weight of load stalls, 0 to 1.
             now_ms: Now.
@@ -202,9 +213,9 @@
         costs = {
             target: self._cost(target, adapter, stall_weight, now_ms)
             + position * self.settings.step_ms
-            for position, target in enumerate(considered)
+            for position, target in enumerate(shortlist)
         }
-        return sorted(considered, key=costs.__getitem__)
+        return sorted(shortlist, key=costs.__getitem__)
 
     def _cost(
         self, target: str, adapter: str, stall_weight: float, now_ms: int
@@ -221,11 +232,11 @@
         # adapter over many targets, and each copy costs a load and a slot.
         load_ms = float(self.settings.load_ms)
         match self.residency(target, adapter, now_ms):
-            case Standing.RESIDENT:
+            case AdapterState.RESIDENT:
                 stall_ms = 0.0
-            case Standing.LOADING:
+            case AdapterState.LOADING:
                 stall_ms = load_ms / 2
-            case Standing.FAILED:
+            case AdapterState.FAILED:
                 stall_ms = load_ms * 8
             case _:
                 stall_ms = load_ms
--- a/packages/radishstack/src/radishstack/request/waiting.py
+++ b/packages/radishstack/src/radishstack/request/waiting.py
@@ -93,11 +93,11 @@
         if not self._begun:
             self._until_ms = min(self._until_ms, at_ms)
 
-    def patience(self, now_ms: int) -> placement_lib.Patience:
+    def patience(self, now_ms: int) -> placement_lib.WaitLimits:
         """Returns how long it may still wait."""
-        return placement_lib.Patience(
+        return placement_lib.WaitLimits(
             in_time_ms=self._due_at_ms - self._began_ms,
-            at_all_ms=self._until_ms - now_ms,
+            max_wait_ms=self._until_ms - now_ms,
             is_late=now_ms >= self._due_at_ms,
         )
 
--- a/packages/radishstack/src/radishstack/target.py
+++ b/packages/radishstack/src/radishstack/target.py
@@ -117,7 +117,7 @@
 ) -> None:
     if event.incarnation != target.residency.incarnation:
         return
-    if not target.residency.awaits(event.adapter, event.order):
+    if not target.residency.is_latest_order(event.adapter, event.order):
         return
     backoff = target.residency.load_failed(event.adapter, now_ms)
     failure = result.Failure(
@@ -225,7 +225,7 @@
     else:
         state_lib.close_attempt(target, attempt.attempt_id, _RUN_IS_OVER)
     if not event.ran and running.grant is not None:
-        target.residency.missing(running.grant)
+        target.residency.adapter_missing(running.grant)
 
 
 @_handle.register
@@ -286,7 +286,7 @@
 
 def _expire_waiting(
     target: Target,
-    waiting: fair_queue.Waiting,
+    waiting: fair_queue.QueuedAttempt,
     now_ms: int,
     actions: Actions,
 ) -> None:
--- a/packages/radishstack/src/radishstack/target_admission.py
+++ b/packages/radishstack/src/radishstack/target_admission.py
@@ -284,8 +284,8 @@
     target: state_lib.TargetState, attempt: attempt_lib.Attempt, now_ms: int
 ) -> result.Failure | None:
     left_ms = attempt.deadline_at_ms - now_ms
-    standing = target.residency.standing(attempt.adapter, now_ms)
-    if attempt.adapter and standing is residency_lib.Standing.FAILED:
+    adapter_state = target.residency.adapter_state(attempt.adapter, now_ms)
+    if attempt.adapter and adapter_state is residency_lib.AdapterState.FAILED:
         backoff = target.residency.backoffs[attempt.adapter]
         return result.Failure(
             result.LOAD_FAILED,
@@ -319,7 +319,7 @@
     customer = target.held.document.customers[service.customer]
     target.attempts[attempt.attempt_id] = attempt
     target.queue.push(
-        fair_queue.Waiting(
+        fair_queue.QueuedAttempt(
             attempt_id=attempt.attempt_id,
             customer=customer.name,
             share=customer.share,
@@ -330,8 +330,8 @@
             enqueued_at_ms=now_ms,
             deadline_at_ms=attempt.deadline_at_ms,
             stalls=bool(attempt.adapter)
-            and target.residency.standing(attempt.adapter, now_ms)
-            is not residency_lib.Standing.RESIDENT,
+            and target.residency.adapter_state(attempt.adapter, now_ms)
+            is not residency_lib.AdapterState.RESIDENT,
         )
     )
 
--- a/packages/radishstack/src/radishstack/target_schedule.py
+++ b/packages/radishstack/src/radishstack/target_schedule.py
@@ -27,17 +27,19 @@
 
 
 def _can_run(
-    target: state_lib.TargetState, waiting: fair_queue.Waiting, now_ms: int
+    target: state_lib.TargetState,
+    waiting: fair_queue.QueuedAttempt,
+    now_ms: int,
 ) -> bool:
     if not waiting.adapter:
         return True
-    standing = target.residency.standing(waiting.adapter, now_ms)
-    return standing is residency_lib.Standing.RESIDENT
+    adapter_state = target.residency.adapter_state(waiting.adapter, now_ms)
+    return adapter_state is residency_lib.AdapterState.RESIDENT
 
 
 def _dispatch(
     target: state_lib.TargetState,
-    waiting: fair_queue.Waiting,
+    waiting: fair_queue.QueuedAttempt,
     now_ms: int,
     actions: state_lib.Actions,
 ) -> None:
@@ -88,10 +90,10 @@
 
 def _wanted_adapters(target: state_lib.TargetState, now_ms: int) -> list[str]:
     """Returns what to load, the most urgent first, warm ones last."""
-    absent = residency_lib.Standing.ABSENT
+    absent = residency_lib.AdapterState.ABSENT
     urgency: list[tuple[int, float, int, str]] = []
     for adapter in target.queue.adapters():
-        if target.residency.standing(adapter, now_ms) is not absent:
+        if target.residency.adapter_state(adapter, now_ms) is not absent:
             continue
         waiting = target.queue.waiting_for(adapter)
         rank = min(fair_queue.effective_rank(one, now_ms) for one in waiting)
@@ -103,7 +105,7 @@
             adapter
             for adapter in sorted(target.warm)
             if adapter not in wanted
-            and target.residency.standing(adapter, now_ms) is absent
+            and target.residency.adapter_state(adapter, now_ms) is absent
         )
     return wanted
 
@@ -113,7 +115,7 @@
 ) -> None:
     """Closes the adapter that is missed least, if any may go."""
     closing = sum(
-        slot.standing is residency_lib.Standing.CLOSING
+        slot.adapter_state is residency_lib.AdapterState.CLOSING
         for slot in target.residency.slots.values()
     )
     if closing >= target.settings.max_parallel_loads:
--- a/packages/radishstack/src/radishstack/target_state.py
+++ b/packages/radishstack/src/radishstack/target_state.py
@@ -135,9 +135,9 @@
             What entry daemons route by.
         """
         queued, running = len(self.queue), len(self.running)
-        standing = self.residency.standing(adapter, now_ms)
+        adapter_state = self.residency.adapter_state(adapter, now_ms)
         return load_lib.Load(
-            residency=int(standing),
+            residency=int(adapter_state),
             leaving=self.leaving or not self.engine_up,
             version=self.held.version,
             queued=queued,
@@ -165,7 +165,7 @@
             (
                 (self.popularity.value(name, now_ms), name)
                 for name, slot in self.residency.slots.items()
-                if slot.standing is residency_lib.Standing.RESIDENT
+                if slot.adapter_state is residency_lib.AdapterState.RESIDENT
                 and slot.grants == 0
                 and name not in waited_for
                 and name not in self.warm
@@ -178,7 +178,7 @@
         if self.residency.free_slots() > 0:
             return False
         closing = any(
-            slot.standing is residency_lib.Standing.CLOSING
+            slot.adapter_state is residency_lib.AdapterState.CLOSING
             for slot in self.residency.slots.values()
         )
         return not closing and not self.cheapest_victim(now_ms)[1]
@@ -189,16 +189,16 @@
 
     def load_delay_ms(self, adapter: str, now_ms: int) -> int:
         """Predicts when an adapter would be resident, from now."""
-        standing = self.residency.standing(adapter, now_ms)
+        adapter_state = self.residency.adapter_state(adapter, now_ms)
         estimate_ms = self.residency.load_estimate_ms
-        if not adapter or standing is residency_lib.Standing.RESIDENT:
+        if not adapter or adapter_state is residency_lib.AdapterState.RESIDENT:
             return 0
-        if standing is residency_lib.Standing.LOADING:
+        if adapter_state is residency_lib.AdapterState.LOADING:
             slot = self.residency.slots[adapter]
             return max(1, round(estimate_ms - (now_ms - slot.since_ms)))
         ahead = sum(
-            self.residency.standing(other, now_ms)
-            is residency_lib.Standing.ABSENT
+            self.residency.adapter_state(other, now_ms)
+            is residency_lib.AdapterState.ABSENT
             for other in self.queue.adapters()
             if other != adapter
         )
@@ -248,7 +248,7 @@
 
 def refuse_waiting(
     target: TargetState,
-    waiting: fair_queue.Waiting,
+    waiting: fair_queue.QueuedAttempt,
     failure: result.Failure,
     now_ms: int,
     actions: Actions,
--- a/proofs/starts.py
+++ b/proofs/starts.py
@@ -172,7 +172,7 @@
         self._report()
 
     @stateful.rule(pick=st.integers(0, 10**6))
-    def hear(self, pick: int) -> None:
+    def handle_update(self, pick: int) -> None:
         """The gateway hears any word that was ever told."""
         word = self.words[pick % len(self.words)]
         start = incarnation.Start(NAME, word.born_ms)
@@ -183,7 +183,7 @@
             NAME, NOW_MS, 0, 0, _held(word.born_ms), frozenset()
         )
         view.born_ms = word.born_ms
-        self.placement.hear(ADDRESS, view)
+        self.placement.handle_update(ADDRESS, view)
 
     @stateful.rule()
     def refuse(self) -> None:
--- a/proofs/world.py
+++ b/proofs/world.py
@@ -698,7 +698,7 @@
                 if slot.grants != grants[adapter]:
                     raise ViolationError(f"grants of {adapter} miscounted")
                 if (
-                    slot.standing is residency_lib.Standing.CLOSING
+                    slot.adapter_state is residency_lib.AdapterState.CLOSING
                     and slot.grants
                 ):
                     raise ViolationError(f"{adapter} closing while granted")
--- a/tests/fleet/test_cold_rush.py
+++ b/tests/fleet/test_cold_rush.py
@@ -19,9 +19,9 @@
 SLOTS = 16
 LOAD_MS = 250
 WARM_LOAD_MS = 25
-MEMORY = 96
+MAX_WARM = 96
 # Chance of two requests in one step: 115 a second.
-ORDINARY_PART = 0.575
+PAIR_PROBABILITY = 0.575
 RUN_MS = 600
 STEP_MS = 10
 RUSH_MS = 4_000
@@ -37,7 +37,7 @@
     residents: dict[str, int]
     transit: dict[str, int]
     accepted: int = 0
-    memory: dict[str, None] = dataclasses.field(default_factory=dict)
+    warm: dict[str, None] = dataclasses.field(default_factory=dict)
     fetches: int = 0
 
     def step(self, now_ms: int) -> None:
@@ -68,11 +68,11 @@
 
     def fetch(self, adapter: str) -> int:
         """Brings an adapter in; returns how long that takes."""
-        held = adapter in self.memory
-        self.memory.pop(adapter, None)
-        self.memory[adapter] = None
-        while len(self.memory) > MEMORY:
-            del self.memory[next(iter(self.memory))]
+        held = adapter in self.warm
+        self.warm.pop(adapter, None)
+        self.warm[adapter] = None
+        while len(self.warm) > MAX_WARM:
+            del self.warm[next(iter(self.warm))]
         if held:
             return WARM_LOAD_MS
         self.fetches += 1
@@ -110,8 +110,8 @@
         self.waiting: list[_Waiting] = []
         self.running: list[tuple[str, str, int]] = []
         self.waits_ms: list[int] = []
-        self.refused_ms: list[int] = []
-        self.gave_up = 0
+        self.rejected_ms: list[int] = []
+        self.timed_out = 0
 
     def demand(self, name: str, now_ms: int) -> adapter_keeper.Demand:
         """Returns all that the gateway uses and waits for at an engine."""
@@ -125,18 +125,20 @@
             if one.home == name:
                 dues_ms[one.adapter].append(one.due_at_ms - now_ms)
         wants = tuple(
-            adapter_keeper.Want(adapter, 0, len(dues), min(dues), max(dues))
+            adapter_keeper.LoadRequest(
+                adapter, 0, len(dues), min(dues), max(dues)
+            )
             for adapter, dues in dues_ms.items()
         )
         return adapter_keeper.Demand(
             "g", name, SLOTS, ("base",), uses, wants, {}
         )
 
-    def tell(self, now_ms: int) -> None:
+    def exchange_updates(self, now_ms: int) -> None:
         """Sidecars hear the gateway, and it hears them."""
         for name, engine in self.engines.items():
             demand = self.demand(name, now_ms)
-            engine.keeper.hear(demand, now_ms)
+            engine.keeper.handle_update(demand, now_ms)
             member = self.roster.members[name]
             view = placement_lib.View(
                 name,
@@ -147,22 +149,22 @@
                 engine.keeper.pending(now_ms),
                 load_wait=engine.keeper.load_wait(now_ms),
             )
-            self.placement.hear(member.listing.address, view)
+            self.placement.handle_update(member.listing.address, view)
 
     def place(self, request: _Waiting, now_ms: int) -> bool:
         """Places one request; returns whether it goes on waiting."""
         usable = self.roster.usable("llm", now_ms)
         waited_ms = now_ms - request.since_ms
-        patience = placement_lib.Patience(
+        patience = placement_lib.WaitLimits(
             in_time_ms=OBJECTIVE_MS,
-            at_all_ms=WAIT_BOUND_MS - waited_ms,
+            max_wait_ms=WAIT_BOUND_MS - waited_ms,
             is_late=waited_ms >= OBJECTIVE_MS,
         )
         choice = self.placement.choose(
             request.adapter, usable, now_ms, patience
         )
         if choice.full_for_ms:
-            self.refused_ms.append(waited_ms)
+            self.rejected_ms.append(waited_ms)
             return False
         if choice.send is not None:
             name = choice.send.listing.instance
@@ -172,10 +174,10 @@
             return False
         request.home = ""
         if choice.load is not None:
-            self.placement.wished(choice.load, request.adapter)
+            self.placement.record_load_request(choice.load, request.adapter)
             request.home = choice.load.listing.instance
         if waited_ms > WAIT_BOUND_MS:
-            self.gave_up += 1
+            self.timed_out += 1
             return False
         return True
 
@@ -190,13 +192,13 @@
             for _ in range(ARRIVALS_PER_STEP)
         ]
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Plays the rush and what follows it."""
         for now_ms in range(1_000, 4_000 + self.length_ms, STEP_MS):
             self.running = [one for one in self.running if one[2] > now_ms]
             for engine in self.engines.values():
                 engine.step(now_ms)
-            self.tell(now_ms)
+            self.exchange_updates(now_ms)
             if now_ms < 1_000 + self.length_ms:
                 self.waiting.extend(
                     _Waiting(adapter, now_ms) for adapter in self.arrivals()
@@ -206,7 +208,7 @@
             ]
 
 
-def test_a_rush_of_cold_adapters_is_served_at_the_engines_rate() -> None:
+def test_a_rush_of_cold_adapters_is_served_at_the_engines_load_rate() -> None:
     """Symptom: in a rush everybody waits, and nearly all are late.
 
     Sequence: twice as many cold adapters are asked for as engines can bring
@@ -215,13 +217,13 @@
     """
     for seed in range(5):
         rush = _Rush(seed)
-        rush.play()
+        rush.run()
         possible = ENGINES * adapter_keeper.MAX_IN_TRANSIT * RUSH_MS / LOAD_MS
         in_time = sum(wait_ms <= OBJECTIVE_MS for wait_ms in rush.waits_ms)
         assert in_time >= possible, (in_time, possible)
-        assert rush.gave_up == 0, rush.gave_up
+        assert rush.timed_out == 0, rush.timed_out
         # A refusal is told at once, not after a wait in vain.
-        assert statistics.mean(rush.refused_ms) <= STEP_MS
+        assert statistics.mean(rush.rejected_ms) <= STEP_MS
 
 
 class _Ordinary(_Rush):
@@ -234,7 +236,7 @@
         super().__init__(seed)
         weights = [1 / rank**1.2 for rank in range(1, 3_001)]
         self.weights = list(itertools.accumulate(weights))
-        self.asked: set[str] = set()
+        self.requested: set[str] = set()
 
     def sent(self, instance: str, now_ms: int) -> None:
         """One send in ten fails, as where answers are lost."""
@@ -245,17 +247,17 @@
 
     def arrivals(self) -> list[str]:
         """About 115 requests a second."""
-        if self.random.random() > ORDINARY_PART:
+        if self.random.random() > PAIR_PROBABILITY:
             return []
         picked = self.random.choices(
             range(3_000), cum_weights=self.weights, k=2
         )
         names = [f"base/a{rank}" for rank in picked]
-        self.asked.update(names)
+        self.requested.update(names)
         return names
 
 
-def test_adapters_keep_to_few_engines() -> None:
+def test_adapters_stay_on_few_engines() -> None:
     """Symptom: the weight store is asked twice for every adapter.
 
     Sequence: ordinary load on four of six engines, one send in ten fails.
@@ -265,8 +267,11 @@
     (1.28 before).
     """
     for seed in range(3):
-        day = _Ordinary(seed)
-        day.play()
-        fetches = sum(engine.fetches for engine in day.engines.values())
-        assert fetches <= 1.15 * len(day.asked), (fetches, len(day.asked))
-        assert day.gave_up == 0
+        load = _Ordinary(seed)
+        load.run()
+        fetches = sum(engine.fetches for engine in load.engines.values())
+        assert fetches <= 1.15 * len(load.requested), (
+            fetches,
+            len(load.requested),
+        )
+        assert load.timed_out == 0
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -62,13 +62,13 @@
                     lambda: engine.swallow_orders < 1_000_000 - 6,
                     "orders go unanswered",
                 )
-                before_ms = gateway.placement.views[address].heard_at_ms
+                before_ms = gateway.placement.views[address].received_at_ms
                 swallowed = engine.swallow_orders
                 await fleet.until(
                     lambda: engine.swallow_orders < swallowed - 8,
                     "more orders go unanswered",
                 )
-                heard_ms = gateway.placement.views[address].heard_at_ms
+                heard_ms = gateway.placement.views[address].received_at_ms
                 assert heard_ms > before_ms
                 engine.swallow_orders = 0
 
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -51,7 +51,7 @@
 def test_what_a_word_leaves_out_is_counted() -> None:
     """Entries that do not fit must not vanish without a trace."""
     wants = tuple(
-        adapter_keeper.Want(f"base/a{number}", 0)
+        adapter_keeper.LoadRequest(f"base/a{number}", 0)
         for number in range(fleet_wire.MAX_ENTRIES + 7)
     )
     demand = adapter_keeper.Demand("g", "i", 9, ("base",), (), wants, {})
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -36,7 +36,7 @@
         adapter_limit=LIMIT,
         base_models=("base",),
         uses=uses,
-        wants=tuple(adapter_keeper.Want(name, 0) for name in wants),
+        wants=tuple(adapter_keeper.LoadRequest(name, 0) for name in wants),
         announced=announced or {},
     )
 
@@ -53,20 +53,20 @@
     """
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
-    keeper.hear(_demand("base/new", uses=uses), 1_000)
+    keeper.handle_update(_demand("base/new", uses=uses), 1_000)
     keeper.observe(_report(_full()))
     assert keeper.decide(1_500) is None
 
 
-def test_the_least_asked_for_idle_adapter_makes_room() -> None:
+def test_the_least_popular_idle_adapter_is_evicted() -> None:
     """Popularity decides among the idle ones."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(
         adapter_keeper.Use(name, 0, 9 if name != "base/a2" else 1)
         for name in _full()
     )
-    keeper.hear(_demand(uses=uses), 1_000)
-    keeper.hear(_demand("base/new"), 1_400)
+    keeper.handle_update(_demand(uses=uses), 1_000)
+    keeper.handle_update(_demand("base/new"), 1_400)
     keeper.observe(_report(_full()))
     order = keeper.decide(1_500)
     assert order.operation is Operation.UNLOAD and order.adapter == "base/a2"
@@ -76,7 +76,7 @@
     """Guards against rejecting all loads after the process was paused."""
     keeper = adapter_keeper.Keeper()
     names = [f"base/b{number}" for number in range(3)]
-    keeper.hear(_demand(*names), 1_000)
+    keeper.handle_update(_demand(*names), 1_000)
     for number, name in enumerate(names[:2]):
         # The first load takes 30 ms; the second is in progress at the pause.
         keeper.observe(_report(dict.fromkeys(names[:number], 1)))
@@ -85,7 +85,7 @@
         keeper.settled(order, 1_000 + 30 * number, refused=False)
     fetch_ms_before_pause = keeper.load_wait(1_040).fetch_ms
     keeper.hold(4_000)
-    keeper.hear(_demand(*names), 4_000)
+    keeper.handle_update(_demand(*names), 4_000)
     keeper.observe(_report(dict.fromkeys(names[:2], 1)))
     keeper.decide(4_000)
     wait = keeper.load_wait(4_001)
@@ -93,13 +93,13 @@
     assert wait.gap_ms < 100
 
 
-def test_a_gateway_that_is_gone_holds_no_adapter() -> None:
+def test_uses_of_a_lost_gateway_expire() -> None:
     """Its uses lapse; the engine itself protects what still runs."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
-    keeper.hear(_demand(uses=uses), 1_000)
-    later_ms = 1_001 + adapter_keeper.DEMAND_MS
-    keeper.hear(_demand("base/new", gateway="other"), later_ms)
+    keeper.handle_update(_demand(uses=uses), 1_000)
+    later_ms = 1_001 + adapter_keeper.USE_TTL_MS
+    keeper.handle_update(_demand("base/new", gateway="other"), later_ms)
     keeper.observe(_report(_full()))
     assert keeper.decide(later_ms).operation is Operation.UNLOAD
 
@@ -107,7 +107,7 @@
 def test_no_order_without_a_new_report() -> None:
     """What an order did is read, not assumed."""
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand("base/a1", "base/a2"), 1_000)
+    keeper.handle_update(_demand("base/a1", "base/a2"), 1_000)
     keeper.observe(_report({}))
     order = keeper.decide(1_000)
     keeper.settled(order, 1_001, refused=False)
@@ -116,17 +116,17 @@
     assert keeper.decide(1_003).accepted_count == 1
 
 
-def test_no_order_right_after_a_standstill() -> None:
+def test_no_order_right_after_a_process_pause() -> None:
     """What was known before it is old, and another may have acted."""
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand("base/a1"), 1_000)
+    keeper.handle_update(_demand("base/a1"), 1_000)
     keeper.hold(1_400)
     keeper.observe(_report({}))
     assert keeper.decide(1_399) is None
     assert keeper.decide(1_400) is not None
 
 
-def test_a_full_engine_is_not_asked_all_the_while() -> None:
+def test_a_full_engine_is_polled_at_the_idle_interval() -> None:
     """Symptom: a process beside a full engine takes 5 % of a core.
 
     Sequence: all places are in use and another adapter is wanted. Cause: the
@@ -135,39 +135,39 @@
     """
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
-    keeper.hear(_demand("base/new", uses=uses), 1_000)
+    keeper.handle_update(_demand("base/new", uses=uses), 1_000)
     keeper.observe(_report(_full()))
     assert keeper.decide(1_500) is None
-    assert keeper.next_look_ms(1_500) == adapter_keeper.IDLE_LOOK_MS
+    assert keeper.next_poll_ms(1_500) == adapter_keeper.IDLE_POLL_MS
 
 
-def test_the_end_of_a_run_is_news_where_a_place_is_waited_for() -> None:
+def test_the_end_of_a_run_wakes_the_sidecar_if_a_load_needs_a_slot() -> None:
     """The word that a run has ended has its place taken at once."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
-    assert keeper.hear(_demand("base/new", uses=uses), 1_000) is False
+    assert keeper.handle_update(_demand("base/new", uses=uses), 1_000) is False
     keeper.observe(_report(_full()))
     assert keeper.decide(1_500) is None
     ended = (adapter_keeper.Use("base/a0", 0, 1), *uses[1:])
-    assert keeper.hear(_demand("base/new", uses=ended), 1_510)
+    assert keeper.handle_update(_demand("base/new", uses=ended), 1_510)
     assert keeper.decide(1_511) is None
-    left_ms = adapter_keeper.IDLE_MS - 1
-    assert keeper.next_look_ms(1_511) == left_ms
+    left_ms = adapter_keeper.EVICTION_IDLE_MS - 1
+    assert keeper.next_poll_ms(1_511) == left_ms
     order = keeper.decide(1_511 + left_ms)
     assert order.operation is Operation.UNLOAD and order.adapter == "base/a0"
 
 
-def test_the_end_of_a_run_is_no_news_where_nothing_waits() -> None:
+def test_the_end_of_a_run_does_not_wake_the_sidecar_if_no_load_waits() -> None:
     """A look for every run that ends would cost as much as a steady pace."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
-    keeper.hear(_demand(uses=uses), 1_000)
+    keeper.handle_update(_demand(uses=uses), 1_000)
     keeper.observe(_report(_full()))
     assert keeper.decide(1_500) is None
-    assert not keeper.hear(_demand(uses=uses[1:]), 1_510)
+    assert not keeper.handle_update(_demand(uses=uses[1:]), 1_510)
 
 
-def test_adapters_that_came_and_went_between_two_words_are_told() -> None:
+def test_adapters_held_only_between_two_updates_are_reported() -> None:
     """Symptom: a tenth more adapters are fetched from the weight store.
 
     Sequence: gateways are told of an engine once a second; adapters come and
@@ -176,62 +176,62 @@
     named these.
     """
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand(), 1_000)
+    keeper.handle_update(_demand(), 1_000)
     keeper.observe(_report({"base/a1": 1, "base/a2": 1}))
     keeper.observe(_report({"base/a2": 1, "base/a3": 1}))
     keeper.observe(_report({"base/a2": 1, "base/a4": 1}))
     assert keeper.recently_held() == ("base/a1", "base/a3")
 
 
-def test_an_overdue_load_is_looked_for_at_a_growing_pace() -> None:
+def test_an_overdue_load_is_polled_at_growing_intervals() -> None:
     """Symptom: looks at engines double while the weight store is slow.
 
     Sequence: a load that takes a quarter of a second takes a whole one.
     Cause: once overdue it was looked for every 15 ms.
     """
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand("base/a1"), 1_000)
+    keeper.handle_update(_demand("base/a1"), 1_000)
     keeper.observe(_report({}))
     keeper.settled(keeper.decide(1_000), 1_000, refused=False)
-    looks = []
+    polls = []
     now_ms = 1_000
     while now_ms < 2_000:
         keeper.observe(_report({}, {"base/a1": 0}, accepted=1))
-        keeper.hear(_demand("base/a1"), now_ms)
+        keeper.handle_update(_demand("base/a1"), now_ms)
         keeper.decide(now_ms)
-        now_ms += keeper.next_look_ms(now_ms)
-        looks.append(now_ms)
-    assert len(looks) < 25, looks
+        now_ms += keeper.next_poll_ms(now_ms)
+        polls.append(now_ms)
+    assert len(polls) < 25, polls
 
 
 def test_an_empty_engine_gets_its_base_model_first() -> None:
     """Adapters need it; the engine refuses them without."""
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand("base/a1"), 1_000)
+    keeper.handle_update(_demand("base/a1"), 1_000)
     empty = adapter_keeper.Report(0, {}, {}, False, 0, 0)
     keeper.observe(empty)
     assert keeper.decide(1_000).adapter == "base"
 
 
-def test_an_idle_adapter_of_an_old_version_goes() -> None:
+def test_an_idle_adapter_of_an_old_version_is_unloaded() -> None:
     """It would only be refused, and its place is wanted."""
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand(announced={"base/a1": 2}), 1_000)
+    keeper.handle_update(_demand(announced={"base/a1": 2}), 1_000)
     keeper.observe(_report({"base/a1": 1, "base/a2": 1}))
     order = keeper.decide(1_000)
     assert order.operation is Operation.UNLOAD and order.adapter == "base/a1"
 
 
-def test_a_start_that_is_over_is_never_taken_again() -> None:
+def test_an_ended_incarnation_is_never_accepted_again() -> None:
     """A gateway that lags goes on naming it for seconds."""
-    starts = incarnation.Incarnations()
-    assert starts.named("new") and starts.named("old")
-    starts.refused()
-    assert not starts.named("old") and starts.current == ""
-    assert starts.named("new")
+    incarnations = incarnation.Incarnations()
+    assert incarnations.named("new") and incarnations.named("old")
+    incarnations.refused()
+    assert not incarnations.named("old") and incarnations.current == ""
+    assert incarnations.named("new")
 
 
-def test_parts_of_the_budget_add_up_to_the_whole() -> None:
+def test_shares_of_the_retry_budget_add_up_to_the_whole() -> None:
     """Symptom: a failing service gets several times its load in repeats.
 
     Sequence: all requests fail at all gateways, unevenly loaded. Cause: each
@@ -262,15 +262,15 @@
         self.residents: dict[str, int] = {}
         self.in_transit: dict[str, int] = {}
         self.accepted = 0
-        self.late: list[adapter_keeper.Order] = []
+        self.delayed: list[adapter_keeper.Order] = []
         self.in_use: set[str] = set()
         self.waited_for: list[str] = []
 
-    def _tell(self, *, sent: int) -> None:
+    def _send_demand(self, *, sent: int) -> None:
         """The gateway's word: all that it uses and waits for."""
         uses = tuple(adapter_keeper.Use(name, 1, sent) for name in self.in_use)
         demand = _demand(*self.waited_for, uses=uses)
-        self.keeper.hear(demand, self.now_ms)
+        self.keeper.handle_update(demand, self.now_ms)
 
     def _carry_out(self, order: adapter_keeper.Order) -> bool:
         if order.accepted_count != self.accepted:
@@ -287,14 +287,14 @@
         """A request waits for an adapter."""
         if adapter not in self.waited_for:
             self.waited_for.append(adapter)
-        self._tell(sent=0)
+        self._send_demand(sent=0)
 
     @stateful.rule()
     def wait_no_more(self) -> None:
         """The request that waits longest is sent or refused."""
         if self.waited_for:
             self.waited_for.pop(0)
-        self._tell(sent=0)
+        self._send_demand(sent=0)
 
     @stateful.rule(adapter=adapters, uses=st.booleans())
     def use(self, adapter: str, uses: bool) -> None:
@@ -303,7 +303,7 @@
             self.in_use.add(adapter)
         else:
             self.in_use.discard(adapter)
-        self._tell(sent=1)
+        self._send_demand(sent=1)
 
     @stateful.rule(answer=st.sampled_from(["at once", "lost", "late"]))
     def order(self, answer: str) -> None:
@@ -317,7 +317,7 @@
         if order.operation is Operation.UNLOAD:
             assert order.adapter not in self.in_use
         if answer == "late":
-            self.late.append(order)
+            self.delayed.append(order)
         else:
             self._carry_out(order)
         self.keeper.settled(order, self.now_ms, refused=False)
@@ -325,8 +325,8 @@
     @stateful.rule()
     def late_order(self) -> None:
         """An order that had no answer is carried out after all."""
-        if self.late:
-            self._carry_out(self.late.pop(0))
+        if self.delayed:
+            self._carry_out(self.delayed.pop(0))
 
     @stateful.rule()
     def loads_finish(self) -> None:
@@ -338,7 +338,7 @@
     def wait(self, step_ms: int) -> None:
         """Time passes; gateways renew their word."""
         self.now_ms += step_ms
-        self._tell(sent=0)
+        self._send_demand(sent=0)
 
     @stateful.invariant()
     def never_overfilled(self) -> None:
@@ -346,7 +346,7 @@
         assert len(self.residents | self.in_transit) <= LIMIT
 
 
-def test_no_order_overfills_an_engine_whatever_is_lost_or_late() -> None:
+def test_no_order_overfills_an_engine_if_answers_are_lost_or_late() -> None:
     """Orders are answered at once, lost, or carried out later."""
     settings = hypothesis.settings(
         max_examples=150,
@@ -358,7 +358,7 @@
     stateful.run_state_machine_as_test(KeeperMachine, settings=settings)
 
 
-def test_a_load_that_nobody_waits_for_any_more_is_not_made() -> None:
+def test_a_load_that_no_request_waits_for_is_not_ordered() -> None:
     """Symptom: engines bring in adapters for callers that have left.
 
     Sequence: a request waits, is refused or sent elsewhere, and the gateway's
@@ -366,41 +366,41 @@
     alone, so a load for nobody took a place from those that waited.
     """
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand("base/a1"), 1_000)
-    keeper.hear(_demand(), 1_020)
+    keeper.handle_update(_demand("base/a1"), 1_000)
+    keeper.handle_update(_demand(), 1_020)
     keeper.observe(_report({}))
     assert keeper.decide(1_030) is None
     assert not keeper.pending(1_030)
 
 
-def test_the_adapter_that_most_wait_for_comes_first() -> None:
+def test_the_adapter_with_the_most_waiting_requests_is_loaded_first() -> None:
     """Load pattern: places are scarce, and one load can serve several."""
     keeper = adapter_keeper.Keeper()
     demand = _demand("base/a1")
-    keeper.hear(demand, 1_000)
+    keeper.handle_update(demand, 1_000)
     wants = (
-        adapter_keeper.Want("base/a1", 0, 1),
-        adapter_keeper.Want("base/a2", 0, 4),
+        adapter_keeper.LoadRequest("base/a1", 0, 1),
+        adapter_keeper.LoadRequest("base/a2", 0, 4),
     )
-    keeper.hear(dataclasses.replace(demand, wants=wants), 1_100)
+    keeper.handle_update(dataclasses.replace(demand, wants=wants), 1_100)
     keeper.observe(_report({}))
     assert keeper.decide(1_110).adapter == "base/a2"
 
 
-def test_one_that_waits_long_is_not_passed_over_for_ever() -> None:
+def test_a_load_request_that_waits_long_is_not_starved() -> None:
     """A rare adapter waits at most as long as its rivals' callers are many."""
     keeper = adapter_keeper.Keeper()
-    keeper.hear(_demand("base/rare"), 1_000)
+    keeper.handle_update(_demand("base/rare"), 1_000)
     wants = (
-        adapter_keeper.Want("base/rare", 0, 1),
-        adapter_keeper.Want("base/a2", 0, 4),
+        adapter_keeper.LoadRequest("base/rare", 0, 1),
+        adapter_keeper.LoadRequest("base/a2", 0, 4),
     )
-    keeper.hear(dataclasses.replace(_demand(), wants=wants), 1_500)
+    keeper.handle_update(dataclasses.replace(_demand(), wants=wants), 1_500)
     keeper.observe(_report({}))
     assert keeper.decide(1_510).adapter == "base/rare"
 
 
-def test_the_wait_for_a_load_is_learned_where_places_are_taken() -> None:
+def test_the_load_wait_is_learned_when_all_slots_are_in_use() -> None:
     """Symptom: under load callers wait for loads that come too late.
 
     Sequence: all places are in use, runs end one every 200 ms, and eight more
@@ -413,17 +413,17 @@
     wants = tuple(f"base/n{number}" for number in range(16))
     for turn in range(8):
         uses = tuple(
-            adapter_keeper.Use(name, int(place != 0), 1)
-            for place, name in enumerate(held)
+            adapter_keeper.Use(name, int(slot != 0), 1)
+            for slot, name in enumerate(held)
         )
         now_ms += 200
-        open_wants = wants[turn:]
-        keeper.hear(_demand(*open_wants, uses=uses), now_ms - 30)
+        open_requests = wants[turn:]
+        keeper.handle_update(_demand(*open_requests, uses=uses), now_ms - 30)
         keeper.observe(_report(held, accepted=accepted))
-        out = keeper.decide(now_ms)
-        assert out.operation is Operation.UNLOAD, turn
-        keeper.settled(out, now_ms, refused=False)
-        del held[out.adapter]
+        unload = keeper.decide(now_ms)
+        assert unload.operation is Operation.UNLOAD, turn
+        keeper.settled(unload, now_ms, refused=False)
+        del held[unload.adapter]
         keeper.observe(_report(held, accepted=accepted + 1))
         order = keeper.decide(now_ms)
         keeper.settled(order, now_ms, refused=False)
@@ -432,20 +432,22 @@
         keeper.observe(_report(held, accepted=accepted))
     queued = len(wants) - 8
     expected_ms = queued * 200
-    keeper.hear(_demand(*wants[8:], uses=uses), now_ms)
+    keeper.handle_update(_demand(*wants[8:], uses=uses), now_ms)
     wait_ms = keeper.load_wait(now_ms).wait_ms
     assert 0.7 * expected_ms <= wait_ms <= 1.3 * expected_ms, wait_ms
 
 
-def _due(adapter: str, first_ms: int, last_ms: int) -> adapter_keeper.Want:
-    return adapter_keeper.Want(adapter, 0, 1, first_ms, last_ms)
+def _due(
+    adapter: str, first_ms: int, last_ms: int
+) -> adapter_keeper.LoadRequest:
+    return adapter_keeper.LoadRequest(adapter, 0, 1, first_ms, last_ms)
 
 
-def test_loads_go_in_the_order_in_which_they_are_due() -> None:
+def test_loads_are_ordered_by_due_time() -> None:
     """Load pattern: two services of one fleet, with unlike objectives."""
     keeper = adapter_keeper.Keeper()
     wants = (_due("base/patient", 900, 900), _due("base/urgent", 300, 300))
-    keeper.hear(dataclasses.replace(_demand(), wants=wants), 1_000)
+    keeper.handle_update(dataclasses.replace(_demand(), wants=wants), 1_000)
     keeper.observe(_report({}))
     assert keeper.decide(1_010).adapter == "base/urgent"
 
@@ -462,7 +464,7 @@
     mixed = _due("base/mixed", -200, 500)
     fresh = _due("base/fresh", 600, 600)
     demand = dataclasses.replace(_demand(), wants=(late, mixed, fresh))
-    keeper.hear(demand, 1_000)
+    keeper.handle_update(demand, 1_000)
     keeper.observe(_report({}))
     order = keeper.decide(1_010)
     # One of its callers is still in time, and the first one waits longest.
@@ -477,7 +479,7 @@
     assert keeper.decide(1_030).adapter == "base/late"
 
 
-def test_late_loads_that_have_no_turn_are_told_as_a_long_wait() -> None:
+def test_late_loads_that_are_always_passed_over_report_a_long_wait() -> None:
     """Symptom: callers are held for a second and then refused.
 
     Sequence: an overload lasts, so loads that are late are passed over again
@@ -489,7 +491,9 @@
         now_ms = 1_000 + 100 * turn
         # Each turn goes to a load that is in time.
         wants = (*late, _due(f"base/n{turn}", 600, 600))
-        keeper.hear(dataclasses.replace(_demand(), wants=wants), now_ms)
+        keeper.handle_update(
+            dataclasses.replace(_demand(), wants=wants), now_ms
+        )
         keeper.observe(_report({}, accepted=turn))
         wait = keeper.load_wait(now_ms)
         order = keeper.decide(now_ms)
@@ -499,7 +503,7 @@
     assert wait.in_time_ms < 500, wait
 
 
-def test_an_engine_without_its_base_model_is_not_taken_for_slow() -> None:
+def test_time_without_a_base_model_is_not_learned_as_load_time() -> None:
     """Symptom: after a power cut callers are refused for a second.
 
     Sequence: engines are empty, and load requests wait for their base model.
@@ -511,23 +515,23 @@
     demand = dataclasses.replace(_demand(), wants=wants)
     empty = dataclasses.replace(_report({}), residents={})
     for now_ms in (1_000, 1_700, 2_400):
-        keeper.hear(demand, now_ms)
+        keeper.handle_update(demand, now_ms)
         keeper.observe(empty)
         wait_ms = keeper.load_wait(now_ms).in_time_ms
         assert wait_ms <= len(wants) * adapter_keeper.FIRST_GAP_MS, wait_ms
 
 
-def test_that_an_adapter_is_free_again_is_told() -> None:
+def test_the_end_of_the_last_use_is_reported() -> None:
     """Symptom: a place stays taken for a second after its last run.
 
     Sequence: a gateway's only request at an engine ends. Cause: with nothing
     in use it had nothing to tell, and was believed to use the adapter still.
     """
-    book = demand_table.DemandTable()
-    assert not book.has_news
-    book.began("base/a1")
-    book.take(1_000)
-    book.ended("base/a1")
-    assert not book.busy and book.has_news
-    assert book.take(1_400) == ((), ())
-    assert not book.has_news
+    table = demand_table.DemandTable()
+    assert not table.has_update
+    table.began("base/a1")
+    table.take(1_000)
+    table.ended("base/a1")
+    assert not table.busy and table.has_update
+    assert table.take(1_400) == ((), ())
+    assert not table.has_update
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -32,7 +32,7 @@
     placement = placement_lib.Placement(random.Random(1), "north")
     for name, member in roster.members.items():
         held = {"base": 1} | residents.get(name, {})
-        placement.hear(
+        placement.handle_update(
             member.listing.address,
             placement_lib.View(name, NOW_MS, 0, 0, held, frozenset()),
         )
@@ -56,7 +56,7 @@
     assert choice.send is roster.members["i2"] and choice.load is None
 
 
-def test_every_gateway_picks_the_same_home() -> None:
+def test_every_gateway_picks_the_same_home_without_messages() -> None:
     """Without a message, so that one load serves the callers of all."""
     roster = _roster(6)
     homes = {_choose(_placement(roster), roster).load.listing.instance}
@@ -90,7 +90,7 @@
     assert choice.load is not None and choice.load is not choice.send
 
 
-def test_where_all_engines_fail_no_copies_are_made() -> None:
+def test_no_copy_is_loaded_where_all_engines_fail() -> None:
     """Symptom: each adapter is fetched once more while engines fail.
 
     Sequence: every engine fails half of its requests for some seconds. Cause:
@@ -116,17 +116,17 @@
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
-    placement.announce(ADAPTER, 2, NOW_MS)
+    placement.record_announcement(ADAPTER, 2, NOW_MS)
     first = _choose(placement, roster)
     assert first.send is roster.members["i0"]
     assert first.load is not None and first.load is not first.send
     later_ms = NOW_MS + placement_lib.OLD_VERSION_MS
     for view in placement.views.values():
-        view.heard_at_ms = later_ms
+        view.received_at_ms = later_ms
     assert _choose(placement, roster, later_ms).send is None
 
 
-def test_versions_named_in_a_row_are_each_given_their_time() -> None:
+def test_each_of_several_announced_versions_has_its_own_grace_period() -> None:
     """Symptom: callers get a version two behind, five seconds after it went.
 
     Sequence: a version is announced, and the next one before the first is
@@ -135,15 +135,15 @@
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
-    placement.announce(ADAPTER, 2, NOW_MS)
+    placement.record_announcement(ADAPTER, 2, NOW_MS)
     second_ms = NOW_MS + placement_lib.OLD_VERSION_MS - 100
-    placement.announce(ADAPTER, 3, second_ms)
+    placement.record_announcement(ADAPTER, 3, second_ms)
     for view in placement.views.values():
-        view.heard_at_ms = second_ms
+        view.received_at_ms = second_ms
     assert _choose(placement, roster, second_ms).send is not None
     later_ms = NOW_MS + placement_lib.OLD_VERSION_MS
     for view in placement.views.values():
-        view.heard_at_ms = later_ms
+        view.received_at_ms = later_ms
     assert _choose(placement, roster, later_ms).send is None
     # The version between is not over yet.
     placement.views[roster.members["i1"].listing.address].residents[ADAPTER] = 2
@@ -163,16 +163,16 @@
     assert _choose(placement, roster).load is not home
 
 
-def test_a_silent_sidecar_is_no_home() -> None:
+def test_an_engine_with_a_stale_status_is_no_home() -> None:
     """Its engine may run, but nobody there takes a wish for a load."""
     roster = _roster(2)
     placement = _placement(roster)
     home = _choose(placement, roster).load
-    placement.views[home.listing.address].heard_at_ms -= 10_000
+    placement.views[home.listing.address].received_at_ms -= 10_000
     assert _choose(placement, roster).load is not home
 
 
-def test_failures_push_work_away_but_never_empty_a_service() -> None:
+def test_failures_never_make_all_targets_of_a_service_unusable() -> None:
     """With every target in doubt, the doubt is about this process."""
     roster = _roster(2)
     for _ in range(4):
@@ -184,7 +184,7 @@
     assert len(roster.usable("llm", NOW_MS)) == 2
 
 
-def test_of_two_entries_at_one_address_the_later_runs() -> None:
+def test_the_later_of_two_listings_at_one_address_is_used() -> None:
     """Symptom: each send to a restarted target is refused for seconds."""
     roster = _roster(1)
     old = roster.members["i0"].listing
@@ -203,7 +203,7 @@
     assert [one.listing.instance for one in usable] == ["i9"]
 
 
-def test_entries_that_lapse_in_an_outage_are_kept_for_a_moment() -> None:
+def test_entries_that_expire_in_an_outage_are_kept_for_a_grace_period() -> None:
     """And one that does not come back is then given up."""
     roster = _roster(2)
     roster.outage_ended(NOW_MS, away_ms=4_000)
@@ -214,7 +214,7 @@
     assert roster.remove("i1", NOW_MS + 9_000)
 
 
-def test_a_plain_target_that_leaves_callers_waiting_is_passed_over() -> None:
+def test_a_plain_target_that_does_not_answer_is_avoided() -> None:
     """Symptom: a third of all counter calls run into their time limit.
 
     Sequence: a target goes dark without a word; its connections stay open.
@@ -222,15 +222,15 @@
     """
     roster = _roster(3)
     placement = _placement(roster)
-    dark = roster.members["i1"]
-    dark.health.unanswered["request"] = NOW_MS - 600
+    unresponsive = roster.members["i1"]
+    unresponsive.health.unanswered["request"] = NOW_MS - 600
     for _ in range(30):
         usable = roster.usable("llm", NOW_MS)
-        chosen = placement.plain(usable, NOW_MS)
-        assert chosen is not dark
+        chosen = placement.choose_plain(usable, NOW_MS)
+        assert chosen is not unresponsive
 
 
-def test_a_holder_on_a_silent_vm_is_left_for_a_load_elsewhere() -> None:
+def test_an_adapter_held_on_a_frozen_vm_is_loaded_elsewhere() -> None:
     """Symptom: seconds of requests vanish into a frozen VM.
 
     Sequence: engine and sidecar freeze together; the engine still stands in
@@ -239,17 +239,17 @@
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
-    now_ms = NOW_MS + placement_lib.SILENT_MS + 1
+    now_ms = NOW_MS + placement_lib.STALE_MS + 1
     for address, view in placement.views.items():
         if address != "10.0.0.0:80":
-            view.heard_at_ms = now_ms
+            view.received_at_ms = now_ms
     choice = _choose(placement, roster, now_ms)
     assert choice.send is None
     assert choice.load is not None
     assert choice.load is not roster.members["i0"]
 
 
-def test_an_engine_that_is_told_of_seldom_is_not_silent_in_between() -> None:
+def test_a_long_update_interval_does_not_make_a_status_stale() -> None:
     """Symptom: idle engines pass for frozen, and adapters are fetched twice.
 
     Sequence: the process beside an engine tells a gateway that does not use
@@ -262,13 +262,13 @@
     now_ms = NOW_MS + 1_900
     choice = _choose(placement, roster, now_ms)
     assert choice.send is roster.members["i0"]
-    assert placement.is_heard(roster.members["i0"], now_ms)
+    assert placement.has_fresh_status(roster.members["i0"], now_ms)
     # Two promised words are missing.
     now_ms = NOW_MS + 2_100
-    assert not placement.is_heard(roster.members["i0"], now_ms)
+    assert not placement.has_fresh_status(roster.members["i0"], now_ms)
 
 
-def test_what_an_engine_held_between_two_words_is_loaded_there_again() -> None:
+def test_an_adapter_held_between_two_updates_is_loaded_there_again() -> None:
     """It takes a tenth of the time there, and no fetch from the store."""
     roster = _roster(4)
     placement = _placement(roster)
@@ -278,11 +278,11 @@
     view = placement_lib.View(
         name, NOW_MS, 0, 0, {"base": 1}, frozenset(), recent=(ADAPTER,)
     )
-    placement.hear(address, view)
+    placement.handle_update(address, view)
     assert _choose(placement, roster).load is other
 
 
-def test_an_engine_that_leaves_a_wish_unanswered_is_silent_soon() -> None:
+def test_an_engine_that_ignores_a_load_request_becomes_stale_soon() -> None:
     """Symptom: callers wait for seconds for a load on a frozen VM.
 
     Sequence: a gateway that was told of an engine once a second asks for a load
@@ -294,18 +294,18 @@
     placement = _placement(roster)
     member = roster.members["i0"]
     placement.views["10.0.0.0:80"].next_ms = 1_000
-    placement.asked(member, NOW_MS + 100)
-    placement.asked(member, NOW_MS + 500)
-    assert placement.is_heard(member, NOW_MS + 800)
-    assert not placement.is_heard(member, NOW_MS + 801)
-    placement.hear(
+    placement.note_demand_sent(member, NOW_MS + 100)
+    placement.note_demand_sent(member, NOW_MS + 500)
+    assert placement.has_fresh_status(member, NOW_MS + 800)
+    assert not placement.has_fresh_status(member, NOW_MS + 801)
+    placement.handle_update(
         "10.0.0.0:80",
         placement_lib.View("i0", NOW_MS + 802, 0, 0, {}, frozenset()),
     )
-    assert placement.is_heard(member, NOW_MS + 900)
+    assert placement.has_fresh_status(member, NOW_MS + 900)
 
 
-def test_a_named_base_version_keeps_no_request_from_running_engines() -> None:
+def test_an_announced_base_version_does_not_block_running_engines() -> None:
     """Symptom: all requests without an adapter are refused for good.
 
     Sequence: new weights of the base model are named; engines in place go
@@ -313,14 +313,14 @@
     """
     roster = _roster(2)
     placement = _placement(roster)
-    placement.announce("base", 2, NOW_MS)
+    placement.record_announcement("base", 2, NOW_MS)
     usable = roster.usable("llm", NOW_MS)
     late_ms = NOW_MS + 600
     choice = placement.choose("base", usable, late_ms)
     assert choice.send is not None
 
 
-def test_an_adapter_returns_to_where_it_was_held() -> None:
+def test_an_adapter_is_loaded_again_where_it_was_held() -> None:
     """Load pattern: many rare adapters, each asked for now and then.
 
     The engine that held it has it in memory; its rendezvous home would fetch
@@ -335,14 +335,14 @@
     held = view.residents | {ADAPTER: 1}
     name = other.listing.instance
     for residents in (held, view.residents):
-        placement.hear(
+        placement.handle_update(
             address,
             placement_lib.View(name, NOW_MS, 0, 0, residents, frozenset()),
         )
     assert _choose(placement, roster).load is other
 
 
-def test_the_first_engine_back_does_not_get_everything() -> None:
+def test_the_first_engine_to_restart_is_not_overloaded() -> None:
     """Symptom: ten seconds after a power cut hardly anybody is served.
 
     Sequence: all engines restart; one has its base model before the others,
@@ -372,7 +372,7 @@
     assert choice.load is not roster.members["i0"]
 
 
-def test_requests_that_have_ended_are_no_load() -> None:
+def test_ended_requests_do_not_count_as_load() -> None:
     """Symptom: an idle engine is said to be overloaded.
 
     Sequence: hundreds of short requests are sent and answered between two
--- a/tests/fleet/test_starts.py
+++ b/tests/fleet/test_starts.py
@@ -136,15 +136,15 @@
         "i1", now_ms, 0, 0, {"base7": 1, ADAPTER: 1}, frozenset()
     )
     address = "10.0.0.1:80"
-    placement.hear(address, dataclasses.replace(view, born_ms=5_000))
-    assert placement.is_heard(roster.members["i1"], now_ms)
+    placement.handle_update(address, dataclasses.replace(view, born_ms=5_000))
+    assert placement.has_fresh_status(roster.members["i1"], now_ms)
     roster.upsert(_listing(born_ms=9_000, changed_at=4, residents={}))
     member = roster.members["i1"]
-    assert not placement.is_heard(member, now_ms)
+    assert not placement.has_fresh_status(member, now_ms)
     assert ADAPTER not in placement.residents(member, now_ms)
     empty = dataclasses.replace(view, born_ms=9_000, residents={"base7": 1})
-    placement.hear(address, empty)
-    assert placement.is_heard(member, now_ms)
+    placement.handle_update(address, empty)
+    assert placement.has_fresh_status(member, now_ms)
     assert ADAPTER not in placement.warm[address]
 
 
@@ -155,8 +155,8 @@
     before counted as still in its memory, and went before other loads.
     """
     keeper = adapter_keeper.Keeper()
-    want = adapter_keeper.Want
-    keeper.hear(
+    want = adapter_keeper.LoadRequest
+    keeper.handle_update(
         adapter_keeper.Demand(
             gateway="g",
             instance=NAME,
@@ -188,7 +188,7 @@
     """
     keeper = adapter_keeper.Keeper()
     use = adapter_keeper.Use(ADAPTER, 3, 3)
-    keeper.hear(
+    keeper.handle_update(
         adapter_keeper.Demand("g", NAME, 4, ("base7",), (use,), (), {}), 0
     )
     report = adapter_keeper.Report(
--- a/tests/fleet/test_wishes.py
+++ b/tests/fleet/test_wishes.py
@@ -40,7 +40,7 @@
     turns = range(6)
     assert all(load_requests.is_due(member, turn) for turn in turns)
     view = placement_lib.View("i1", clock.boot_ms(), 0, 0, {}, frozenset())
-    placement.hear(member.listing.address, view)
+    placement.handle_update(member.listing.address, view)
     told = [turn for turn in turns if load_requests.is_due(member, turn)]
     assert told == [0, 3], told
 
@@ -51,7 +51,7 @@
     load_requests = load_requests_lib.LoadRequests(placement, _Log(), _tell)
     member = _member("i1")
     view = placement_lib.View("i1", clock.boot_ms(), 0, 0, {}, frozenset())
-    placement.hear(member.listing.address, view)
+    placement.handle_update(member.listing.address, view)
     load_requests.began(member, "base/a1")
     assert all(load_requests.is_due(member, turn) for turn in range(6))
 
--- a/tests/stack/test_fair_queue.py
+++ b/tests/stack/test_fair_queue.py
@@ -5,8 +5,8 @@
 
 def _waiting(
     number: int, customer: str, *, rank: int = 1, share: float = 1.0
-) -> fair_queue.Waiting:
-    return fair_queue.Waiting(
+) -> fair_queue.QueuedAttempt:
+    return fair_queue.QueuedAttempt(
         attempt_id=number.to_bytes(16, "big"),
         customer=customer,
         share=share,
@@ -26,7 +26,7 @@
     return served
 
 
-def test_flood_does_not_starve_a_trickle() -> None:
+def test_one_customers_flood_does_not_starve_another() -> None:
     """Of the first ten turns the small customer gets its five."""
     queue = fair_queue.FairQueue()
     for number in range(100):
@@ -36,7 +36,7 @@
     assert _order(queue)[:10].count("trickle") == 5
 
 
-def test_shares_weigh_the_turns() -> None:
+def test_turns_are_proportional_to_shares() -> None:
     """A share of three gets three turns for one."""
     queue = fair_queue.FairQueue()
     for number in range(40):
@@ -56,7 +56,7 @@
     assert aged.rank == 2 or queue.pop(lambda _: True, 30_000).rank == 2
 
 
-def test_customer_back_from_idleness_starts_level() -> None:
+def test_a_customer_gains_no_turns_from_idle_time() -> None:
     """Idle time earns no turns: the others are not starved in return."""
     queue = fair_queue.FairQueue()
     for number in range(50):
