--- a/packages/radishstack/src/radishstack/process/adapter_keeper.py
+++ b/packages/radishstack/src/radishstack/process/adapter_keeper.py
@@ -1,9 +1,9 @@
-"""Which adapters one engine holds: the orders of the process beside it.
+"""Decides which adapters the sidecar's engine loads and unloads.
 
-Only this process gives its engine orders. What the engine holds is read anew
-before every order, since an order can be accepted without an answer, or be
-carried out seconds late; each order names the count of orders that the engine
-has accepted, so of two that were decided on the same report one is refused.
+Only the sidecar gives its engine orders. It reads the engine's report before
+every order, since an order can be accepted without an answer or be carried out
+seconds late. Each order states how many orders the engine has accepted, so the
+engine rejects one of two orders that were decided on the same report.
 """
 
 from collections.abc import Mapping
@@ -16,62 +16,64 @@
 from radishstack import result
 from radishstack.process import popularity
 
-# A gateway's word on its use of this engine is believed this long. It is
-# renewed several times a second; after this the gateway is gone, and the
-# engine itself still protects runs from an unload.
+# How long a gateway's uses of adapters count. Gateways renew them several times
+# a second, so a gateway is lost after this time. The engine itself still
+# protects runs from an unload.
 USE_TTL_MS = 2_000
-# Each word of a gateway says all that it wants, several times a second. A
-# gateway that was not heard for longer waits no more, or is cut off.
+# How long a gateway's load requests count. Each message contains all of them,
+# several times a second, so a gateway without messages for this time has no
+# waiting requests or is cut off.
 LOAD_REQUEST_TTL_MS = 1_000
-# No eviction right after a use: a gateway may be sending the next request,
-# and learns of an eviction some milliseconds after it.
+# Time since the last use before an adapter may be evicted. A gateway may be
+# sending the next request and learns of an eviction some milliseconds later.
 EVICTION_IDLE_MS = 25
-# After a load order that the engine refused, others go first.
+# Backoff after the engine has rejected a load, so that other loads go first.
 REJECTED_LOAD_BACKOFF_MS = 500
-# Adapters that the engine held lately and most likely still has in its memory,
-# for each place: engines keep six times as many as they have places.
+# Recently held adapters per adapter slot that most likely are still in the
+# engine's memory. Engines keep six times as many as they have slots.
 WARM_PER_SLOT = 5
-# Adapters held last that a word names beside those that are held: more than
-# an engine replaces between two words to those that are told seldom.
+# Recently held adapters that a status update names: more than an engine
+# replaces between two updates to an idle gateway.
 MAX_RECENT = 8
-# What one more request that waits for an adapter is worth, in time waited: the
-# load of an adapter that several wait for serves them all.
+# Waiting time that each waiting request adds to an adapter's priority, since
+# one load serves all requests that wait for the adapter.
 WAITER_CREDIT_MS = 100
-# A load request without an objective, or with a long one, is ordered as if it
-# were due so long after it was made.
+# Latest due time for ordering, counted from a load's first request. It applies
+# to loads without a due time and to those with a later one.
 MAX_DUE_MS = 1_000
-# While loads wait, the time between two of them is learned with this weight
-# of the newest: it is four in one fetch at best, and several times as long once
-# every place is in use or the weight store is shared by many.
+# Weight of the newest interval between two loads in its moving average. An
+# engine does four loads in one fetch time at best; the interval is several
+# times as long once all slots are in use or many engines share the weight
+# store.
 GAP_WEIGHT = 0.25
 FIRST_GAP_MS = 60.0
-# Adapters that may be in transit to one engine: what engines take at most.
+# Adapters in transit to one engine: the most that engines accept.
 MAX_IN_TRANSIT = 4
-# Weight of the newest fetch in the estimate of how long one takes.
+# Weight of the newest fetch in the moving average of the fetch time.
 FETCH_WEIGHT = 0.3
-# Part of that time after which its end is looked for.
+# Fraction of the expected fetch time after which the engine is polled for it.
 FIRST_POLL_FRACTION = 0.8
-# The same from its own memory.
+# Time that an engine takes to load an adapter from its own memory.
 WARM_LOAD_MS = 25
-# How often the engine is asked for its report: where a change is due, and at
-# the least. A place that is waited for comes free when a gateway's word says
-# that a run has ended, so the engine need not be asked for that.
+# Intervals at which the engine's report is read: when a change is due, and
+# otherwise. A load that waits for a slot needs no polls, since a gateway's
+# message reports the end of the run that frees it.
 POLL_MS = 15
 IDLE_POLL_MS = 100
-# Part of the time that a load is overdue after which it is looked for again:
-# while the weight store is slow, looks at a steady pace would be the same
-# report over and over.
+# Poll interval for an overdue load, as a fraction of the time that it is
+# overdue. At a constant interval, polls would return the same report over and
+# over while the weight store is slow.
 OVERDUE_POLL_FRACTION = 0.25
-# Half-life of an adapter's count of requests: popularity moves in seconds.
+# Half-life of an adapter's request count. Popularity changes within seconds.
 HALF_LIFE_MS = 10_000
 
 
-# A load request that is due at no time.
+# Due time of a load request that is never due.
 NEVER_DUE_MS = 2**31 - 1
 
 
 class Operation(enum.StrEnum):
-    """What an order asks for."""
+    """What an order has the engine do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -79,14 +81,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order.
+    """An order to the engine.
 
     Attributes:
         operation: Load or unload.
         adapter: The adapter, ``model/name``, or a base model.
         version: Version to load, 0 for the newest.
         accepted_count: Orders that the engine had accepted when this one was
-            decided; the engine refuses it if others came between.
+            decided. The engine rejects the order if it has accepted others
+            since.
     """
 
     operation: Operation
@@ -97,17 +100,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What the engine says of itself.
+    """The engine's report of its own state.
 
     Attributes:
-        accepted_count: Orders that it accepted since its start.
+        accepted_count: Orders that it has accepted in this incarnation.
         residents: Versions of adapters and base models that it holds.
-        in_transit: Versions of adapters on their way to it.
+        in_transit: Versions of adapters that are being fetched or loaded.
         busy: Whether it carries out an order that excludes others.
         running: Requests that run.
         queued: Requests that wait.
-        born_ms: Birth of its start, 0 where it told none.
-        leaving: Whether it says that it leaves.
+        born_ms: Start time of its incarnation, 0 if it reports none.
+        leaving: Whether it is draining.
     """
 
     accepted_count: int
@@ -126,8 +129,8 @@
 
     Attributes:
         adapter: The adapter.
-        in_flight: Requests it has there now.
-        sent: Requests it sent since its last word.
+        in_flight: Requests that it has at the engine now.
+        sent: Requests that it has sent since its last message.
     """
 
     adapter: str
@@ -137,16 +140,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadRequest:
-    """An adapter that a gateway has requests for.
+    """An adapter that a gateway needs at the engine.
 
     Attributes:
         adapter: The adapter.
-        version: Its lowest version.
-        waiting: Requests that wait for it there, 0 if it is only a further
-            copy.
-        first_due_ms: In how long the first of them must have it, to be
-            answered within its objective; negative where that has passed.
-        last_due_ms: The same of the last one.
+        version: The lowest version that serves.
+        waiting: Requests that wait for it, 0 if it is only a further copy.
+        first_due_ms: Time within which the first waiting request needs it to be
+            answered within its latency objective; negative if that is past.
+        last_due_ms: The same for the last waiting request.
     """
 
     adapter: str
@@ -158,16 +160,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """A gateway's word to the process beside an engine.
+    """A gateway's message to a sidecar: what it uses and needs at the engine.
 
     Attributes:
         gateway: Name of the gateway.
-        instance: Start of the engine that it knows.
-        adapter_limit: Adapters that the engine can hold.
+        instance: Name of the engine's incarnation that the gateway knows.
+        adapter_limit: Number of adapter slots of the engine.
         base_models: Base models of the engine's service.
-        uses: Its use of adapters there.
-        wants: All adapters that it waits for now.
-        announced: Announced versions that it knows.
+        uses: Adapters that the gateway uses at the engine.
+        wants: All load requests of the gateway.
+        announced: Announced versions that the gateway knows.
     """
 
     gateway: str
@@ -180,7 +182,7 @@
 
 
 def base_of(adapter: str) -> str:
-    """Returns the base model of an adapter; a base model is its own."""
+    """Returns the base model of an adapter, or a base model itself."""
     return adapter.partition("/")[0]
 
 
@@ -191,6 +193,8 @@
 
 @dataclasses.dataclass(slots=True)
 class _RequestedLoad:
+    """The load requests of all gateways for one adapter."""
+
     version: int
     since_ms: int
     waiting: int = 0
@@ -198,11 +202,11 @@
     last_due_at_ms: int = 0
 
     def is_late(self, now_ms: int, load_ms: float) -> bool:
-        """Whether all that wait for it will be answered late in any case."""
+        """Whether the load comes too late for all requests that wait for it."""
         return self.last_due_at_ms < now_ms + load_ms
 
     def urgency_ms(self) -> float:
-        """Returns the time by which load requests are ordered."""
+        """Returns the time by which loads are ordered, the earliest first."""
         at_ms = min(self.first_due_at_ms, self.since_ms + MAX_DUE_MS)
         return at_ms - WAITER_CREDIT_MS * self.waiting
 
@@ -212,12 +216,11 @@
     """How long loads take at an engine now.
 
     Attributes:
-        wait_ms: Until a load that is wished now would be done, were it the
-            last one.
-        gap_ms: Between two loads; what one more in the queue adds.
-        in_time_ms: Until it would be done ahead of those that come too late
-            in any case.
-        fetch_ms: How long it takes without a wait.
+        wait_ms: Time until a load requested now is done, behind all others.
+        gap_ms: Time between two loads, which each queued load adds.
+        in_time_ms: Time until it is done ahead of loads that are late for all
+            their callers.
+        fetch_ms: Time that a load takes without a queue.
     """
 
     wait_ms: int
@@ -227,10 +230,10 @@
 
 
 class Keeper:
-    """Decides the orders of one engine."""
+    """Decides the load and unload orders for one engine."""
 
     def __init__(self) -> None:
-        """Starts without a report and without demand."""
+        """Creates a keeper without a report or demand."""
         self.report: Report | None = None
         self.adapter_limit = 0
         self.base_models: tuple[str, ...] = ()
@@ -247,16 +250,16 @@
         self._rejected_until_ms: dict[str, int] = {}
         self._expected_at_ms: dict[str, int] = {}
         self._fetched_since_ms: dict[str, int] = {}
-        # 0 until a fetch was seen: callers are not turned away for a wait of
-        # which nothing is known.
+        # 0 until a fetch is observed, so that no request is rejected because
+        # of an unknown load time.
         self._fetch_ms = 0.0
         self._hold_until_ms = 0
         self._born_ms = 0
-        # Whether a load waits for a run to end, as of the last decision.
+        # Whether a load waited for a free slot at the last decision.
         self._waits_for_slot = False
 
     def restarted(self) -> None:
-        """Resets what is known after the engine was restarted."""
+        """Discards the state of the engine's former incarnation."""
         self.report = None
         self._rejected_until_ms.clear()
         self._expected_at_ms.clear()
@@ -264,7 +267,7 @@
         self._warm.clear()
 
     def hold(self, until_ms: int) -> None:
-        """Gives no orders for a while, as after standing still."""
+        """Gives no orders until a time, as after a process pause."""
         self.report = None
         self._hold_until_ms = until_ms
         # Discards measurements that span the pause. They would inflate the
@@ -278,8 +281,8 @@
         """Applies a gateway's demand.
 
         Returns:
-            Whether an order may follow from it: something is wanted that was
-            not, or a run has ended while load requests wait for its place.
+            Whether it may lead to an order: it has a new load request, or a run
+            has ended while loads wait for a slot.
         """
         before = self.pending(now_ms) if demand.wants else frozenset()
         freed = self._apply_demand(demand, now_ms)
@@ -304,8 +307,8 @@
                 self.popularity.touch(use.adapter, now_ms)
         _, used = self._in_flight.get(demand.gateway, (now_ms, {}))
         self._in_flight[demand.gateway] = (now_ms, in_flight)
-        # What it does not want any more has nobody waiting there: a load for
-        # callers that have left would keep a place from those that wait.
+        # Replaces the gateway's earlier load requests. A load that no caller
+        # waits for any more would take a slot from those that are needed.
         self._requests[demand.gateway] = (now_ms, demand.wants)
         for request in demand.wants:
             self._requested_since_ms.setdefault(request.adapter, now_ms)
@@ -315,22 +318,22 @@
         """Applies the engine's own report.
 
         Returns:
-            The birth of the start before, if another one reports now; 0
-            otherwise.
+            The start time of the former incarnation if the report is the first
+            of a new one, else 0.
         """
         former_born_ms = 0
         if report.born_ms and report.born_ms != self._born_ms:
             former_born_ms, self._born_ms = self._born_ms, report.born_ms
         if former_born_ms:
-            # What the former start held is neither in the memory of this one
-            # nor in use; orders to it are settled by its end.
+            # The new incarnation has none of the former one's adapters in its
+            # memory or in use, and orders to the former one are void.
             self.restarted()
             self._in_flight.clear()
         self.report = report
         for adapter in self._expected_at_ms.keys() & report.residents.keys():
             del self._expected_at_ms[adapter]
         for adapter in report.residents:
-            # The one held last goes last, so that the oldest is dropped.
+            # Moves it to the end, so that the least recent is dropped first.
             self._warm.pop(adapter, None)
             self._warm[adapter] = None
         limit = WARM_PER_SLOT * self.adapter_limit
@@ -339,21 +342,20 @@
         return former_born_ms
 
     def recently_held(self) -> tuple[str, ...]:
-        """Returns adapters that were held last and are not any more.
+        """Returns adapters that the engine no longer holds, most recent last.
 
-        Gateways that are told seldom would not see those that came and went
-        between two words, and fetch them again elsewhere. The one held last
-        is at the end.
+        Idle gateways would not see an adapter that was loaded and unloaded
+        between two updates, and would have it fetched again elsewhere.
         """
         held = self.report.residents if self.report is not None else {}
         former = (name for name in reversed(self._warm) if name not in held)
         return tuple(itertools.islice(former, MAX_RECENT))[::-1]
 
     def next_poll_ms(self, now_ms: int) -> int:
-        """Returns how long the engine's report will most likely stay as it is.
+        """Returns the time until the engine's report should be read again.
 
-        Loads take their known time, so that an engine with nothing but loads
-        under way need not be asked for them all the while.
+        Load times are estimated, so an engine that only has loads in progress
+        is not polled before one is due.
         """
         report = self.report
         if report is None:
@@ -369,7 +371,7 @@
         return min(max(poll_ms, POLL_MS), IDLE_POLL_MS)
 
     def _next_load_ms(self, report: Report, now_ms: int) -> int:
-        """Returns in how long a load is likely to have ended."""
+        """Returns the time until a load in transit should be polled for."""
         poll_ms = IDLE_POLL_MS
         for name in report.in_transit:
             left_ms = self._expected_at_ms.get(name, now_ms) - now_ms
@@ -379,7 +381,7 @@
         return poll_ms
 
     def _next_slot_ms(self, report: Report, now_ms: int) -> int:
-        """Returns in how long the next load can be ordered."""
+        """Returns the time until the next load can be ordered."""
         if not self._waits_for_slot:
             return POLL_MS
         if len(report.in_transit) >= MAX_IN_TRANSIT:
@@ -395,7 +397,7 @@
         )
 
     def in_flight(self, adapter: str, now_ms: int) -> int:
-        """Returns how many requests gateways have on an adapter."""
+        """Returns how many requests of all gateways use an adapter."""
         return sum(
             own.get(adapter, 0)
             for received_at_ms, own in self._in_flight.values()
@@ -403,13 +405,13 @@
         )
 
     def pending(self, now_ms: int) -> frozenset[str]:
-        """Returns the adapters that are loaded or will be."""
+        """Returns the adapters that are in transit or requested and missing."""
         report = self.report
         in_transit = report.in_transit if report is not None else {}
         return frozenset(in_transit) | frozenset(self._open_requests(now_ms))
 
     def _requested(self, now_ms: int) -> dict[str, _RequestedLoad]:
-        """Returns what all gateways together want."""
+        """Returns the merged load requests of all gateways, by adapter."""
         self._requests = {
             gateway: entry
             for gateway, entry in self._requests.items()
@@ -435,7 +437,7 @@
         return merged
 
     def _open_requests(self, now_ms: int) -> list[str]:
-        """Returns the adapters that are wanted and missing, in order."""
+        """Returns the adapters that are requested and missing, in order."""
         return [name for name, _ in self._queue(now_ms)]
 
     def _queue(self, now_ms: int) -> list[tuple[str, _RequestedLoad]]:
@@ -449,10 +451,10 @@
             if report.residents.get(name, -1) < load.version
             or name not in report.residents
         ]
-        # What the engine still has in its memory is there in a tenth of the
-        # time: served first, it makes the others wait next to nothing. A load
-        # that comes too late for all its callers yields to those that are in
-        # time: in a rush, first come first served has everyone late.
+        # Adapters in the engine's memory go first: they load in a tenth of the
+        # time and hardly delay the others. Loads that are late for all their
+        # callers go last: in a rush, first come first served would make nearly
+        # every load late.
         queue.sort(
             key=lambda entry: (
                 entry[0] not in self._warm,
@@ -463,10 +465,11 @@
         return queue
 
     def load_wait(self, now_ms: int) -> LoadWait:
-        """Predicts how long a load that is wished now would take.
+        """Predicts how long a load that is requested now takes.
 
-        Where every place is in use, loads go on only as runs end; a bound on
-        their number alone would let callers wait past their objective.
+        If all slots are in use, loads progress only as runs end. A limit on the
+        number of queued loads alone would let callers wait past their
+        objective.
         """
         report = self.report
         fetch_ms = self._fetch_ms
@@ -480,7 +483,7 @@
         ]
         if not queue:
             return LoadWait(unqueued_ms, self._gap_ms, unqueued_ms, unqueued_ms)
-        # A gap that is not over yet may already be longer than those before.
+        # The current interval may already exceed the moving average.
         first_ms = min(load.since_ms for _, load in queue)
         gap_ms = max(self._gap_ms, self._stalled_ms(first_ms, now_ms) / 2)
         late = [
@@ -489,18 +492,17 @@
         in_time_ms = fetch_ms + (len(queue) - len(late)) * gap_ms
         wait_ms = fetch_ms + len(queue) * gap_ms
         if late:
-            # Those that come too late yield to the others: in an overload
-            # that lasts they have no turn, and further ones would wait in
-            # vain.
+            # Late loads yield to the others, so in a lasting overload none of
+            # them is ordered and further ones would wait for nothing.
             passed_over_ms = now_ms - max(self._last_late_load_at_ms, min(late))
             late_gap_ms = max(gap_ms, passed_over_ms / 2)
             wait_ms = in_time_ms + len(late) * late_gap_ms
         return LoadWait(round(wait_ms), gap_ms, round(in_time_ms), unqueued_ms)
 
     def _stalled_ms(self, first_ms: int, now_ms: int) -> int:
-        """Returns how long no load went on though one was wanted."""
+        """Returns for how long no load was ordered though one was requested."""
         if self._missing_base(self.report) is not None:
-            # Loads go on at the usual rate once the base model is there.
+            # Loads progress at the usual rate once the base model is loaded.
             self._last_load_at_ms = now_ms
         return now_ms - max(self._last_load_at_ms, first_ms)
 
@@ -515,8 +517,8 @@
         order = self._decide(now_ms)
         if order is None or order.operation is Operation.UNLOAD:
             return order
-        # Only the time in which it could have been loaded says how fast loads
-        # go on; before it was wanted there was nothing to do.
+        # Measures the interval only from the load's first request: before that,
+        # there was nothing to load.
         since_ms = self._requested_since_ms.get(order.adapter, now_ms)
         gap_ms = now_ms - max(self._last_load_at_ms, since_ms)
         if not is_base(order.adapter):
@@ -528,11 +530,12 @@
         return order
 
     def _update_fetch_estimate(self, now_ms: int) -> None:
-        """Learns from fetches that have ended how long they take."""
+        """Updates the estimated fetch time from fetches that have ended."""
         report = self.report
         if report is None:
             return
-        # In the order of the orders: that of a set differs between processes.
+        # Keeps the order of the load orders; the iteration order of a set
+        # differs between processes.
         ended = [
             adapter
             for adapter in self._fetched_since_ms
@@ -620,7 +623,10 @@
         )
 
     def _victim(self, report: Report, now_ms: int) -> str | None:
-        """Returns the idle adapter that is least likely to be asked for."""
+        """Returns the idle adapter to evict, None if there is none.
+
+        Outdated versions go first, then the least popular adapter.
+        """
         requested = self._requested(now_ms)
         idle = [
             name
@@ -646,7 +652,7 @@
     ) -> Order:
         report = self.report
         if operation is Operation.LOAD and not is_base(adapter):
-            # One adapter too many makes the engine crash with all its runs.
+            # One adapter too many crashes the engine with all its runs.
             invariant.require(
                 self._occupied(report) < self.adapter_limit,
                 result.SLOTS_OVERFILLED,
@@ -661,20 +667,20 @@
         return Order(operation, adapter, version, report.accepted_count)
 
     def settled(self, order: Order, now_ms: int, *, refused: bool) -> None:
-        """Records the end of an order; the next one needs a new report.
+        """Records the result of an order; the next one needs a new report.
 
         Args:
             order: The order.
             now_ms: Now.
-            refused: Whether the engine refused it for what it asks. Without
-                an answer it counts as not refused: the same order may be
-                given again, since the engine takes only one of the two.
+            refused: Whether the engine rejected the order for its content. An
+                order without an answer counts as not rejected: it may be given
+                again, since the engine accepts only one of the two.
         """
         report, self.report = self.report, None
         if order.operation is Operation.LOAD:
             warm = order.adapter in self._warm
-            # Looked for a little before it is due: looked for later, it would
-            # seem to have taken that long.
+            # Polls start a little before the fetch is due. A later poll would
+            # overestimate the fetch time.
             took_ms = (
                 WARM_LOAD_MS if warm else FIRST_POLL_FRACTION * self._fetch_ms
             )
--- a/packages/radishstack/src/radishstack/process/audience.py
+++ b/packages/radishstack/src/radishstack/process/audience.py
@@ -1,38 +1,39 @@
-"""Which gateways the process beside an engine tells its state, and when.
-
-Told alike, every gateway would hear of every engine several times a second,
-and the words would grow with gateways times engines whatever is asked for. A
-gateway that uses an engine is told often, so that it sees the engine stop
-within a moment; one that does not is told seldom, up to once a second, and the
-more seldom the more gateways there are. Each word says when the next one comes,
-and a gateway that begins to use the engine is told as a user from then on.
+"""Decides which gateways a sidecar sends status updates to, and when.
+
+If every gateway got frequent updates of every engine, messages would grow with
+the number of gateways times engines, whatever the traffic. An active gateway,
+which uses the engine, gets frequent updates, so that it notices within a
+fraction of a second that the engine has stopped. An idle gateway gets them less
+often the more gateways there are, down to one a second. Each update states when
+the next one comes. A gateway that begins to use the engine is active from then
+on.
 """
 
 import dataclasses
 import itertools
 
-# How often users are told when nothing changed, and how much seldomer the more
-# gateways there are: a gateway counts an engine as silent after 700 ms, of
-# which a lost word must leave enough.
+# Interval of updates to active gateways, which grows with their number up to
+# the maximum. A gateway counts an engine as stale after 700 ms, so two updates
+# must fit even if one is lost.
 ACTIVE_UPDATE_MS = 200
 MAX_ACTIVE_UPDATE_MS = 330
-# Up to so many gateways all are told like users, and of a change at once; of
-# more, those that wait for a load here.
+# Up to this number of gateways, all get updates at the active interval and are
+# notified of a change at once. In a larger fleet only those that wait for a
+# load at this engine are notified at once.
 SMALL_GATEWAY_COUNT = 8
-# The longest time between two words to a gateway that does not use the engine.
-# What it believes is as old as that: with 68 gateways before 31 engines under
-# load, 1.6 % of sends met an adapter that had gone.
+# Longest interval of updates to idle gateways, and so the age of their view. At
+# this interval, with 68 gateways and 31 engines under load, 1.6 % of sends
+# reached an engine that no longer held the adapter.
 IDLE_UPDATE_MS = 1_000
-# A gateway counts as a user for so long after its last use: requests of one
+# Time after its last use for which a gateway counts as active. Requests of a
 # gateway for an engine's adapters come in series.
 ACTIVE_MS = 2_000
-# A gateway that was not heard for so long is gone: idle ones speak every 1.2 s,
-# and a word may be lost.
+# Time without messages after which a gateway is removed. Idle gateways send
+# one every 1.2 s, and one message may be lost.
 GATEWAY_TTL_MS = 3_000
 MAX_GATEWAYS = 1_024
-# Gateways that one word names. Named all in each word, they would make words
-# grow with the fleet; the window moves on with every word, so that all are
-# named within some seconds.
+# Gateways named in one update. If each update named all gateways, updates would
+# grow with the fleet. The names rotate, so that all are sent within seconds.
 NAMES_PER_UPDATE = 4
 
 Address = tuple[str, int]
@@ -40,13 +41,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Gateway:
-    """One gateway that was heard.
+    """A gateway that has sent a demand.
 
     Attributes:
         peer_address: Where other gateways reach it.
-        heard_at_ms: When it was heard last.
-        used_at_ms: When it last said that it uses or wants something here.
-        told_at_ms: When it was told last.
+        received_at_ms: When its last demand arrived.
+        used_at_ms: When it last reported uses or load requests.
+        updated_at_ms: When it was sent the last status update.
         waits: Adapters that its requests wait for.
     """
 
@@ -59,11 +60,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recipients:
-    """Whom to tell now, with the same promise.
+    """Gateways that are sent a status update now, with one interval.
 
     Attributes:
         addresses: The gateways.
-        next_ms: Within what time they are told again.
+        next_ms: Time until their next update.
     """
 
     addresses: tuple[Address, ...]
@@ -71,14 +72,14 @@
 
 
 class Audience:
-    """The gateways that one process has heard."""
+    """The gateways that get status updates of one engine."""
 
     def __init__(self) -> None:
-        """Starts with none."""
+        """Creates an audience without gateways."""
         self._gateways: dict[Address, _Gateway] = {}
         self._waiting: set[Address] = set()
         self._name_offset = 0
-        # When the next regular word is due, at the earliest; 0 if unknown.
+        # Earliest time at which a regular update is due; 0 if unknown.
         self._next_at_ms = 0
 
     def __len__(self) -> int:
@@ -97,17 +98,17 @@
         """Records a demand of a gateway.
 
         Args:
-            address: Where it is told.
+            address: Where its status updates are sent.
             peer_address: Where other gateways reach it.
             waits: Adapters that its requests wait for.
-            uses: Whether it uses or wants anything here.
+            uses: Whether it reports any uses or load requests.
             now_ms: Now.
         """
         known = self._gateways.get(address)
         if known is None:
             if len(self._gateways) >= MAX_GATEWAYS:
                 return
-            # One that was not heard before knows nothing of this engine yet.
+            # A new gateway has no status of this engine yet.
             known = _Gateway(peer_address, now_ms, now_ms)
             self._gateways[address] = known
             self._next_at_ms = 0
@@ -120,12 +121,12 @@
             self._waiting.discard(address)
         if uses:
             if now_ms - known.used_at_ms > ACTIVE_MS:
-                # Told like an idle one, it would take the engine for silent.
+                # At the idle interval it would find the engine's status stale.
                 self._next_at_ms = 0
             known.used_at_ms = now_ms
 
     def expire(self, now_ms: int) -> None:
-        """Drops gateways that are gone."""
+        """Removes gateways without a recent demand."""
         self._gateways = {
             address: one
             for address, one in self._gateways.items()
@@ -134,14 +135,14 @@
         self._waiting &= self._gateways.keys()
 
     def active_interval_ms(self) -> int:
-        """Returns how often users are told."""
+        """Returns the interval of updates to active gateways."""
         scale = len(self._gateways) / SMALL_GATEWAY_COUNT
         return round(
             min(max(1.0, scale) * ACTIVE_UPDATE_MS, MAX_ACTIVE_UPDATE_MS)
         )
 
     def idle_interval_ms(self) -> int:
-        """Returns how often gateways are told that do not use the engine."""
+        """Returns the interval of updates to idle gateways."""
         scale = len(self._gateways) / SMALL_GATEWAY_COUNT
         return round(min(max(1.0, scale) * ACTIVE_UPDATE_MS, IDLE_UPDATE_MS))
 
@@ -158,10 +159,10 @@
         Args:
             now_ms: Now.
             changed: Whether what the engine holds has changed.
-            held: What the engine holds.
+            held: Adapters that the engine holds.
 
         Returns:
-            Words to be told; those that they go to count as told.
+            The gateways by interval. They count as updated now.
         """
         due = self._due_immediately(changed=changed, held=held)
         if now_ms >= self._next_at_ms:
@@ -180,7 +181,7 @@
     def _due_immediately(
         self, *, changed: bool, held: frozenset[str]
     ) -> set[Address]:
-        """Returns those that are told whether or not it is their turn."""
+        """Returns the gateways to update before their regular interval."""
         if changed and len(self._gateways) <= SMALL_GATEWAY_COUNT:
             return set(self._gateways)
         if changed:
@@ -192,11 +193,11 @@
         }
 
     def _due_by_interval(self, now_ms: int) -> set[Address]:
-        """Returns the gateways that are due, and when the next one is.
+        """Returns the gateways whose regular update is due.
 
-        All gateways are weighed only when one is due: tens of looks at an
-        engine a second, over hundreds of gateways, would be most of what the
-        process does.
+        Sets the time of the next regular update, so that gateways are scanned
+        only when one is due. A scan of hundreds of gateways at each of tens of
+        polls a second would be most of the sidecar's work.
         """
         self.expire(now_ms)
         due = set()
--- a/packages/radishstack/src/radishstack/process/availability.py
+++ b/packages/radishstack/src/radishstack/process/availability.py
@@ -1,16 +1,15 @@
-"""How long a dependency may have been away, from the calls made to it."""
+"""Detects possible outages of a dependency from the calls made to it."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outage:
-    """A time in which a dependency may have served nobody.
+    """A time in which a dependency may have been unavailable.
 
     Attributes:
         away_ms: How long it lasted at most.
-        failed: Whether a call failed in it; otherwise one was only answered
-            late.
+        failed: Whether a call failed; otherwise a call was only answered late.
     """
 
     away_ms: int
@@ -18,37 +17,37 @@
 
 
 class Availability:
-    """When a dependency was last heard, and whether it has failed since."""
+    """The last answer of a dependency and whether a call has failed since."""
 
     def __init__(self) -> None:
-        """Starts never having heard it."""
+        """Creates the state of a dependency that has not answered yet."""
         self._last_answer_at_ms = 0
         self._failed = False
 
     def failed(self) -> None:
-        """Notes a call that was refused or not answered in time."""
+        """Records a call that was rejected or not answered in time."""
         self._failed = True
 
     def connection_broken(self, now_ms: int) -> None:
-        """Notes a call that ended with its connection.
+        """Records a call whose connection broke.
 
-        The first one shows that the dependency, or its host, was there until
-        now: a single waiting call that is cut off is no outage. In a row they
-        are one, which began with the first.
+        The first broken call shows that the dependency or its host was
+        available until now: a single waiting call that is cut off is no outage.
+        Several in a row are an outage that began with the first.
         """
         if not self._failed:
             self._last_answer_at_ms = now_ms
         self._failed = True
 
     def answered(self, now_ms: int, *, late: bool) -> Outage | None:
-        """Notes an answer.
+        """Records an answer.
 
         Args:
-            now_ms: When it came.
+            now_ms: When it arrived.
             late: Whether it took longer than the dependency itself takes.
 
         Returns:
-            The absence that ends with it, if there may have been one.
+            The outage that ended with it, or None if there was none.
         """
         away_ms, failed = now_ms - self._last_answer_at_ms, self._failed
         self._last_answer_at_ms = now_ms
--- a/packages/radishstack/src/radishstack/process/demand_table.py
+++ b/packages/radishstack/src/radishstack/process/demand_table.py
@@ -1,11 +1,11 @@
-"""What a gateway tells each process beside an engine: uses and wants."""
+"""The uses and load requests that a gateway sends to an engine's sidecar."""
 
 import dataclasses
 
 from radishstack.process import adapter_keeper
 
-# A load request for a further copy, for which no caller waits, is renewed by
-# each request that the busy holder gets; without one it is dropped.
+# No caller waits for a further copy. Each request that the busy holder gets
+# renews the load request for the copy, which otherwise expires.
 COPY_REQUEST_TTL_MS = 300
 
 
@@ -19,7 +19,7 @@
     def load_request(
         self, adapter: str, now_ms: int
     ) -> adapter_keeper.LoadRequest:
-        """Returns what is told of them."""
+        """Returns the load request to send for them."""
         return adapter_keeper.LoadRequest(
             adapter,
             self.version,
@@ -36,10 +36,10 @@
 
 
 class DemandTable:
-    """Uses and wants of one gateway at one engine."""
+    """Uses and load requests of one gateway at one engine."""
 
     def __init__(self) -> None:
-        """Starts with none."""
+        """Creates an empty table."""
         self._in_flight: dict[str, int] = {}
         self._sent: dict[str, int] = {}
         self._copies: dict[str, tuple[int, int]] = {}
@@ -55,7 +55,7 @@
         """Counts a request that has ended.
 
         Returns:
-            Whether none uses the adapter any more.
+            Whether no request uses the adapter any more.
         """
         remaining = self._in_flight.get(adapter, 0) - 1
         if remaining > 0:
@@ -66,15 +66,15 @@
 
     @property
     def busy(self) -> bool:
-        """Whether requests are under way or wait."""
+        """Whether requests are in flight or wait."""
         return bool(self._in_flight or self._waiting)
 
     @property
     def has_update(self) -> bool:
-        """Whether there is anything to tell.
+        """Whether there is anything to send.
 
-        That nothing is used any more is news too: untold, the adapter that
-        was used last would keep its place for as long as it is believed.
+        The end of all uses must be sent too. Otherwise the last used adapter
+        would keep its slot until the sidecar expires its use.
         """
         return self.busy or bool(self._sent) or self._reported_any
 
@@ -92,7 +92,7 @@
             due_at_ms: When it must be sent to be answered in time.
 
         Returns:
-            Whether it is the first that waits for it.
+            Whether no other request waits for the adapter.
         """
         waiting = self._waiting.setdefault(adapter, _WaitingRequests())
         waiting.version = max(waiting.version, version)
@@ -102,7 +102,7 @@
     def stop_waiting(
         self, adapter: str, due_at_ms: int = adapter_keeper.NEVER_DUE_MS
     ) -> bool:
-        """Counts one that waits no more; returns whether none is left."""
+        """Counts the end of a wait; returns whether no request waits now."""
         waiting = self._waiting.get(adapter)
         if waiting is None:
             return True
@@ -113,7 +113,7 @@
         return True
 
     def request_copy(self, adapter: str, version: int, now_ms: int) -> bool:
-        """Asks for a further copy; returns whether this is a new wish."""
+        """Requests a further copy; returns whether the request is new."""
         known = self._copies.get(adapter)
         self._copies[adapter] = (version, now_ms + COPY_REQUEST_TTL_MS)
         return known is None or known[0] != version or known[1] < now_ms
@@ -123,7 +123,7 @@
     ) -> tuple[
         tuple[adapter_keeper.Use, ...], tuple[adapter_keeper.LoadRequest, ...]
     ]:
-        """Returns what is to be sent now; counts of sends begin anew."""
+        """Returns what to send now and resets the counts of sent requests."""
         names = self._in_flight.keys() | self._sent.keys()
         uses = tuple(
             adapter_keeper.Use(
--- a/packages/radishstack/src/radishstack/process/fair_queue.py
+++ b/packages/radishstack/src/radishstack/process/fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a target: priority classes, fair shares, deadlines."""
+"""The queue of a target, with priority classes and fair shares."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -13,15 +13,15 @@
 
     Attributes:
         attempt_id: The attempt.
-        customer: Whose it is.
+        customer: The customer that it belongs to.
         share: The customer's weight.
-        service: Service name, for its bound.
+        service: Service name, for the service's queue limit.
         rank: Priority class, 0 the most urgent.
         stall_weight: How much a load stall matters to it, 0 to 1.
-        adapter: What it needs, empty for a plain service.
-        enqueued_at_ms: Since when it waits.
+        adapter: The adapter that it needs, empty for a plain service.
+        enqueued_at_ms: When it was queued.
         deadline_at_ms: When its caller stops waiting.
-        stalls: Whether its adapter was not resident when it came.
+        stalls: Whether its adapter was not resident when it arrived.
     """
 
     attempt_id: bytes
@@ -39,13 +39,13 @@
 class FairQueue:
     """Start-time fair queueing between customers, within priority classes.
 
-    Each customer has a virtual time that grows by the work it was given over
-    its share; the customer furthest behind goes next. One customer's flood
-    then lengthens its own queue and nobody else's.
+    Each customer has a virtual time that grows with each turn by the inverse of
+    its share. The customer with the least virtual time goes next, so a flood of
+    one customer's attempts lengthens only that customer's queue.
     """
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty queue."""
         self._entries: dict[bytes, QueuedAttempt] = {}
         self._by_customer: dict[str, dict[bytes, QueuedAttempt]] = {}
         self._by_service: dict[str, int] = {}
@@ -86,8 +86,8 @@
         customer = waiting.customer
         own = self._by_customer.setdefault(customer, {})
         if not own:
-            # A customer that comes back from idleness starts level with the
-            # others instead of spending all the turns it never asked for.
+            # Advances a customer that was idle to the queue's virtual time.
+            # Otherwise its unused turns would let it starve the others.
             behind = self._virtual_times.get(customer, 0.0)
             self._virtual_times[customer] = max(behind, self._virtual_clock)
         own[waiting.attempt_id] = waiting
@@ -116,15 +116,15 @@
     def pop(
         self, can_run: Callable[[QueuedAttempt], bool], now_ms: int
     ) -> QueuedAttempt | None:
-        """Gives the next turn.
+        """Removes and returns the attempt to dispatch next.
 
         Args:
-            can_run: Whether an attempt could be dispatched now.
-            now_ms: Now; waiting raises the class step by step, so that no
-                class starves.
+            can_run: Whether an attempt can be dispatched now.
+            now_ms: Now. Attempts move up a priority class at intervals while
+                they wait, so that no class starves.
 
         Returns:
-            The attempt whose turn it is, or None if none can run.
+            The attempt, or None if none can run.
         """
         best: QueuedAttempt | None = None
         best_order: tuple[int, float, int] | None = None
@@ -159,6 +159,6 @@
 
 
 def effective_rank(waiting: QueuedAttempt, now_ms: int) -> int:
-    """Returns the class of an attempt after what it has waited."""
+    """Returns the priority class of an attempt after aging."""
     waited_ms = now_ms - waiting.enqueued_at_ms
     return max(0, waiting.rank - waited_ms // AGING_MS)
--- a/packages/radishstack/src/radishstack/process/load_budget.py
+++ b/packages/radishstack/src/radishstack/process/load_budget.py
@@ -1,11 +1,11 @@
-"""How fast one process starts adapter loads; soft, never needed for safety.
-
-The weight store serves the whole site at a bounded rate and queues what is
-above it, first come first served. A static split of that rate between the
-processes starves whichever has the demand (``docs/design/load-budget.md``),
-so each may use all of it; the bound on parallel loads keeps the store's
-queue short, and what waits, waits at the target, where deadlines and classes
-count.
+"""Limits how fast one process starts adapter loads; no safety depends on it.
+
+The weight store serves the whole site at a bounded rate and queues loads above
+it, first come first served. A static split of that rate between processes
+starves the process that has the demand (``docs/design/load-budget.md``), so
+each may use the whole rate. A limit on parallel loads keeps the store's queue
+short; further loads wait at the target, which orders them by deadline and
+priority class.
 """
 
 import dataclasses
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BudgetSettings:
-    """The weight store's allowance.
+    """The load rate that the weight store allows.
 
     Attributes:
-        rate_per_s: Loads per second the weight store allows.
-        burst: Loads one process may start at once after a pause.
+        rate_per_s: Loads per second.
+        burst: Loads that one process may start at once after an idle time.
     """
 
     rate_per_s: float = 4.0
@@ -27,10 +27,10 @@
 
 
 class LoadBudget:
-    """A token bucket."""
+    """A token bucket for adapter loads."""
 
     def __init__(self, settings: BudgetSettings, now_ms: int) -> None:
-        """Starts with a full bucket."""
+        """Creates a full bucket."""
         self.settings = settings
         self._tokens = settings.burst
         self._at_ms = now_ms
@@ -50,7 +50,7 @@
         return round(missing * MS_PER_S / self.settings.rate_per_s) + 1
 
     def take(self, now_ms: int) -> bool:
-        """Spends one load, if the budget has it."""
+        """Takes a token for one load; returns whether there was one."""
         self._refill(now_ms)
         if self._tokens < 1.0:
             return False
--- a/packages/radishstack/src/radishstack/process/placement.py
+++ b/packages/radishstack/src/radishstack/process/placement.py
@@ -1,10 +1,10 @@
-"""Where a forwarded request goes, and where a missing adapter is loaded.
+"""Chooses the target of a request and the engine that loads a missing adapter.
 
-A target that holds the adapter takes the request, the least loaded first.
-Where none does, every gateway computes the same home for the load from the
-rendezvous order, without a message, and passes over targets that are full.
-One copy of an adapter also keeps its prompt cache in one place; a second copy
-is made once the first one's target is busy.
+A request goes to the least loaded target that holds its adapter. If no target
+holds it, every gateway computes the same home engine for the load from the
+rendezvous order, without exchanging messages, and skips engines that are full.
+A single copy of an adapter also keeps its prompt cache in one place; another
+copy is loaded only when the target that holds the first one is busy.
 """
 
 from collections.abc import Mapping
@@ -16,84 +16,86 @@
 from radishstack.process import rendezvous
 from radishstack.process import roster as roster_lib
 
-# The step by which one more running request delays the others, as configured
-# engines publish it; it only ranks targets.
+# Delay that each further running request adds to the others. Engines publish
+# this step in their configuration; here it only ranks targets.
 REQUEST_COST_MS = 6.0
 QUEUED_COST_MS = 40.0
-# A copy elsewhere is worth its load, and the place that it takes from another
-# adapter, once some fifty requests run at the holders; earlier copies push out
-# what others need.
+# Loading another copy pays for the load and for the adapter that it evicts once
+# about fifty requests run at a holder. Earlier copies evict adapters that other
+# requests need.
 REPLICATION_THRESHOLD_MS = 320.0
-# An engine this late takes no more: sixty run, or fewer and some wait. It
-# reads prompts one after the other, so what is added starts later than its
-# caller has use for, and delays all others.
+# Queueing delay above which an engine gets no more requests: sixty requests
+# run, or fewer run and some are queued. An engine processes prompts one after
+# the other, so another request would start too late for its caller and delay
+# all others.
 OVERLOADED_MS = 360.0
-# When to come back to engines that are overloaded or still starting.
+# Retry delay for requests rejected because engines are overloaded or starting.
 OVERLOADED_RETRY_MS = 500
-# Share of failures above which an engine's adapters are loaded elsewhere: two
-# of the last three sends, or half of the last ten.
+# Share of failed sends above which an engine's adapters are loaded elsewhere:
+# two of the last three sends, or half of the last ten.
 DEGRADED_FAILURE_SHARE = 0.4
-# A failed send costs the caller a new attempt, about one objective.
+# A failed send costs its caller another attempt, which takes about as long as a
+# service's latency objective.
 FAILURE_COST_MS = 800.0
 CROSS_DOMAIN_COST_MS = 3.0
-# A target process tells its state several times in this time. One that was
-# not heard for longer is gone or its whole VM is paused; it gets no load
-# requests, and its engine no requests that another could take. Where it is
-# told seldom it counts as silent once two words that it promised are missing.
+# Age at which a status update is stale. A sidecar sends several updates in this
+# time, so it has stopped or its VM is paused. Its engine gets no load requests
+# and no requests that another target can take. Where updates come at a longer
+# interval, the view is stale after two missing updates.
 STALE_MS = 700
 MISSED_UPDATES = 2
 STALE_MARGIN_MS = 40
-# An engine, or a plain target, that has left a request without a first byte
-# for this long is not like the others: nine in ten answer sooner. What it is
-# silent above this counts against it.
+# Time to first byte above which a target is penalized for each millisecond that
+# it leaves a request unanswered. Nine in ten requests are answered sooner.
 ENGINE_FIRST_BYTE_MS = 800
 PLAIN_FIRST_BYTE_MS = 250
 SLOW_FIRST_BYTE_WEIGHT = 2.0
-# Wait at a home, in fetches, above which a load is left to the next engine in
-# the order: a longer wait keeps adapters to fewer engines, a shorter one
-# spreads a rush.
+# Load queue at the home, in fetch times, above which the next engine in the
+# order loads the adapter. A higher limit keeps adapters on fewer engines, a
+# lower one spreads a rush.
 HOME_WAIT_FETCHES = 1.0
-# Time of a fetch while none was told, as configured engines publish it; it only
-# says when the next engine in the order is taken.
+# Fetch time assumed until an engine reports one; engines publish this value in
+# their configuration. It only decides when the next engine in the order is
+# used.
 FIRST_FETCH_MS = 250.0
-# Loads waiting at an engine above which an adapter that it held before is
-# loaded elsewhere: three rounds of what it brings in at once.
+# Length of an engine's load queue at which an adapter that it held before is
+# loaded elsewhere: three rounds of the loads that it does in parallel.
 MAX_QUEUED_LOADS = 12
-# A load counts as in time if it is predicted to take at most this part of what
-# its caller has: the prediction errs, and what is in time by a hair is passed
-# over once it is late, so that its caller would wait in vain.
+# A load counts as in time if its predicted duration is at most this fraction of
+# its caller's time. Predictions err, and a load that becomes late yields to
+# those in time, so its caller would wait for nothing.
 IN_TIME_FRACTION = 0.75
-# A load that comes late, but within this part of the time for which the
-# request may wait at all, is waited for: to come back would cost its caller
-# more, and where loads are due in order it delays nobody who is in time.
+# A request waits for a late load that is done within this fraction of its
+# maximum wait: a retry would cost its caller more, and loads are ordered by due
+# time, so a late one delays none that is in time.
 LATE_WAIT_FRACTION = 1 / 3
 # How long an older version still serves while the new one is loaded. The
-# platform's bound is longer by the time that a request may wait.
+# platform allows longer, by the time that a request may wait.
 OLD_VERSION_MS = 2_500
 LATENCY_FLOOR_MS = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class View:
-    """A target process' last word on its engine.
+    """The last status update that an engine's sidecar sent to this gateway.
 
     Attributes:
-        instance: Name of the engine that it spoke of.
-        heard_at_ms: When the word arrived.
-        running: Requests that run there.
-        queued: Requests that wait there.
-        residents: Versions by adapter.
+        instance: Name of the engine.
+        received_at_ms: When the update arrived.
+        running: Requests that run at the engine.
+        queued: Requests that wait at the engine.
+        residents: Versions of the resident adapters, by adapter.
         pending: Adapters being loaded or waiting for a load.
-        own_in_flight: Requests that this process had there at that time.
+        own_in_flight: Requests that this gateway had there at that time.
         load_wait: How long a load took there at that time.
-        own_wishes: Loads wished from here since.
-        adapter_limit: Adapters that the engine can hold.
-        born_ms: Birth of the start that it spoke of, 0 if that is not told.
-        next_ms: Within what time it promised its next word, 0 if it did not.
-        asked_at_ms: When it was first told of uses or load requests since, to
-            which it answers at the pace of a user; 0 if it was not.
-        recent: Adapters that the engine held last and does not any more, the
-            one held last at the end.
+        own_load_requests: Load requests of this gateway since the update.
+        adapter_limit: Number of adapter slots of the engine.
+        born_ms: Start time of the engine's incarnation, 0 if unknown.
+        next_ms: Time to the next update as stated in this one, 0 if not stated.
+        notified_at_ms: When this gateway first reported uses or load requests
+            since the update, 0 if it did not. The sidecar then sends updates
+            at the interval of an active gateway.
+        recent: Adapters that the engine no longer holds, the most recent last.
     """
 
     instance: str
@@ -113,14 +115,16 @@
 
     @property
     def start(self) -> incarnation.Start:
-        """The start of the engine that it spoke of."""
+        """The incarnation of the engine that the update describes."""
         return incarnation.Start(self.instance, self.born_ms)
 
     def is_stale(self, now_ms: int) -> bool:
-        """Whether its next word is overdue.
+        """Whether the next update is overdue.
 
-        A gateway that begins to use an engine would otherwise send to one
-        that stands still for as long as the idle are told seldom.
+        After this gateway has reported uses or load requests, an answer is
+        expected within ``STALE_MS``. Otherwise a gateway that begins to use an
+        engine would send to a paused one for the long interval at which idle
+        gateways are updated.
         """
         if self.notified_at_ms and now_ms - self.notified_at_ms > STALE_MS:
             return True
@@ -130,12 +134,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announced:
-    """A version that the operator announced, and when it was learned.
+    """A version that the operator announced.
 
     Attributes:
         version: The version.
-        at_ms: When it was learned.
-        before: The one announced before it.
+        at_ms: When this gateway received the announcement.
+        before: The version announced before it.
     """
 
     version: int
@@ -143,17 +147,18 @@
     before: "Announced | None" = None
 
     def oldest_served(self, now_ms: int) -> int:
-        """Returns the oldest version that still serves for a moment.
+        """Returns the oldest version that may still serve.
 
-        Each version has its own time: were it to begin anew with the next
-        one, several in a row would keep the first one in use for ever.
+        Each version has its own grace period. If it restarted with the next
+        announcement, a series of announcements would keep the first version in
+        use forever.
         """
         if now_ms - self.at_ms >= OLD_VERSION_MS:
             return self.version
         return self.before.oldest_served(now_ms) if self.before else 0
 
     def pruned(self, now_ms: int) -> "Announced":
-        """Returns it without those that serve no more."""
+        """Returns a copy without the versions that may no longer serve."""
         if now_ms - self.at_ms >= OLD_VERSION_MS:
             return Announced(self.version, self.at_ms)
         before = self.before.pruned(now_ms) if self.before else None
@@ -165,10 +170,11 @@
     """How long a request may wait for a load.
 
     Attributes:
-        in_time_ms: From its arrival on, to be answered within its objective.
-        at_all_ms: From now on, to be answered within its time limit, with
-            enough left for a second try.
-        is_late: Whether it has waited past its objective.
+        in_time_ms: Longest wait, from its arrival, that lets it be answered
+            within its latency objective.
+        max_wait_ms: Longest wait, from now, that lets it be answered within
+            its time limit and leaves enough time for a second attempt.
+        is_late: Whether it has waited past its latency objective.
     """
 
     in_time_ms: float
@@ -176,7 +182,6 @@
     is_late: bool = False
 
 
-# Of a request of which nothing else is known.
 DEFAULT_WAIT_LIMITS = WaitLimits(800.0, 800.0)
 
 
@@ -187,9 +192,9 @@
     Attributes:
         send: Target to send to, None to wait for a load.
         load: Target that is to load the adapter, None if none needs to.
-        version: Version believed at ``send``, 0 if unknown.
-        full_for_ms: Where neither helps since every target has more loads
-            waiting than it does in time: for how long, by their number.
+        version: Version expected at ``send``, 0 if unknown.
+        full_for_ms: Predicted time for which every target is overloaded or has
+            more queued loads than it can do in time; 0 if one is not full.
     """
 
     send: roster_lib.Member | None
@@ -199,16 +204,17 @@
 
 
 class Placement:
-    """Residency and load of the targets, as one gateway believes them."""
+    """Residency and load of the targets, as last reported to one gateway."""
 
     def __init__(
         self, random_source: random.Random, failure_domain: str
     ) -> None:
-        """Starts knowing nothing.
+        """Creates a placement without any views.
 
         Args:
-            random_source: Breaks ties, so that gateways do not herd.
-            failure_domain: This process' failure domain.
+            random_source: Breaks ties, so that gateways do not all choose the
+                same target.
+            failure_domain: Failure domain of this gateway.
         """
         self.views: dict[str, View] = {}
         self.warm: dict[str, dict[str, None]] = {}
@@ -219,11 +225,11 @@
     def record_announcement(
         self, adapter: str, version: int, now_ms: int
     ) -> bool:
-        """Learns of a new version; returns whether it is news.
+        """Records an announced version; returns whether it is newer.
 
-        New weights of a base model come with new starts of its engines:
-        loaded in place they would empty an engine of every adapter. Requests
-        are not kept from the engines that run for a version that none has.
+        Versions of base models are ignored. Engines get new base weights only
+        with a new incarnation, since loading them in place would unload every
+        adapter. Until then requests must still reach the running engines.
         """
         if adapter_keeper.is_base(adapter):
             return False
@@ -242,14 +248,14 @@
         self.views[address] = view
         warm = self.warm[address]
         for adapter in (*view.recent, *view.residents):
-            # The one held last goes last, so that the oldest is dropped.
+            # Moves it to the end, so that the least recent is dropped first.
             warm.pop(adapter, None)
             warm[adapter] = None
         while len(warm) > adapter_keeper.WARM_PER_SLOT * view.adapter_limit:
             del warm[next(iter(warm))]
 
     def forget(self, now_ms: int, keep_ms: int) -> None:
-        """Drops words that are too old to mean anything."""
+        """Drops views older than ``keep_ms``."""
         self.views = {
             address: view
             for address, view in self.views.items()
@@ -271,7 +277,7 @@
         member.listing = dataclasses.replace(listing, residents=residents)
 
     def view_of(self, member: roster_lib.Member) -> View | None:
-        """Returns the word on this very start of a target."""
+        """Returns the view of the listed incarnation of a target."""
         listing = member.listing
         view = self.views.get(listing.address)
         if view is None or view.instance != listing.instance:
@@ -281,16 +287,16 @@
         return view
 
     def note_demand_sent(self, member: roster_lib.Member, now_ms: int) -> None:
-        """Notes that a target process was told of uses or load requests."""
+        """Records that uses or load requests were sent to a sidecar."""
         view = self.view_of(member)
         if view is not None and not view.notified_at_ms:
             view.notified_at_ms = now_ms
 
     def newer_versions(self, member: roster_lib.Member) -> dict[str, int]:
-        """Returns newer versions of what a target holds in an older one.
+        """Returns the announced versions of adapters that a target holds older.
 
-        They are all that its process needs to be told of versions: told all
-        that were announced, words would grow with each change of the day.
+        A sidecar needs no other announcements. If all were sent, messages would
+        grow with every announcement of the day.
         """
         view = self.view_of(member)
         if view is None:
@@ -303,7 +309,7 @@
         return newer
 
     def has_fresh_status(self, member: roster_lib.Member, now_ms: int) -> bool:
-        """Whether the process beside this start was heard lately."""
+        """Whether the listed incarnation's status update is not stale."""
         view = self.view_of(member)
         return view is not None and not view.is_stale(now_ms)
 
@@ -314,27 +320,31 @@
     def residents(
         self, member: roster_lib.Member, now_ms: int
     ) -> Mapping[str, int]:
-        """Returns what a target is believed to hold."""
+        """Returns the versions that a target holds, by adapter.
+
+        They come from its status update, or from the list of targets if the
+        update is stale.
+        """
         view = self.view_of(member)
         if view is None or view.is_stale(now_ms):
             return member.listing.residents
         return view.residents
 
     def _queueing_ms(self, member: roster_lib.Member, now_ms: int) -> float:
-        """Estimates the wait that other requests at a target cause."""
+        """Estimates the delay that other requests at a target cause."""
         health = member.health
         view = self.view_of(member)
         running, queued = health.in_flight, 0
         if view is not None and not view.is_stale(now_ms):
-            # What was sent and ended since the word does not count: with
-            # short requests it would pass for a load that is not there.
+            # Counts only requests that are still in flight. If ended ones
+            # counted, a target with many short requests would look overloaded.
             sent_since = health.in_flight - view.own_in_flight
             running = max(running, view.running + sent_since)
             queued = view.queued
         slots = max(1, member.listing.slot_count)
         queueing_ms = REQUEST_COST_MS * running
-        # How many wait is the engine's word, or what is certain from here;
-        # the estimate of what runs is too rough to tell a full batch.
+        # Adds only own requests beyond the request slots to the reported queue:
+        # the estimate of running requests is too rough to detect a full batch.
         queued += max(0, health.in_flight - slots)
         queueing_ms += QUEUED_COST_MS * queued
         slow_ms = health.silent_ms(now_ms) - ENGINE_FIRST_BYTE_MS
@@ -384,7 +394,7 @@
         now_ms: int,
         wait_limits: WaitLimits = DEFAULT_WAIT_LIMITS,
     ) -> Choice:
-        """Chooses for a request that needs an adapter.
+        """Chooses what to do with a request that needs an adapter.
 
         Args:
             adapter: The adapter.
@@ -412,11 +422,11 @@
                 return Choice(best, None, held if min_version else 0)
             home = self._home(adapter, candidates, min_version, now_ms)
             if stale and home is not None:
-                # A frozen VM would keep the request past its deadline; a
-                # load elsewhere takes a moment.
+                # A paused VM would hold the request past its deadline, while a
+                # load elsewhere takes a fraction of a second.
                 return Choice(None, home)
             if home is not None and self._is_degraded(home, now_ms):
-                # Where all are strained alike a copy is a fetch for nothing.
+                # A copy on another degraded engine would not help.
                 home = None
             return Choice(best, home, held if min_version else 0)
         home = self._home(adapter, candidates, min_version, now_ms)
@@ -424,15 +434,15 @@
             oldest = announced.oldest_served(now_ms)
             old = self._cheapest(adapter, candidates, oldest, now_ms)
             if old is not None:
-                # Serving the old version for a moment longer spares callers
-                # the wait for a replacement, which begins only when all
-                # runs on the old one have ended.
+                # The new version is loaded in place only when all runs of the
+                # old one have ended; serving the old one meanwhile spares
+                # callers that wait.
                 return Choice(old, home)
         if home is not None and self._is_full(home, adapter, wait_limits):
             return Choice(None, None, full_for_ms=self._full_for_ms(home))
         if home is None and self._any_overloaded(candidates, now_ms):
-            # The first engine that is back after a restart of all would get
-            # everything at once, and answer nothing in time.
+            # After a restart of all engines the first one that is ready would
+            # otherwise get every request and answer none in time.
             return Choice(None, None, full_for_ms=OVERLOADED_RETRY_MS)
         return Choice(None, home)
 
@@ -442,19 +452,19 @@
         return any(self._is_overloaded(one, now_ms) for one in candidates)
 
     def load_wait_ms(self, address: str) -> float:
-        """Predicts how long a load takes that is wished now."""
+        """Predicts how long a load that is requested now takes."""
         view = self.views[address]
         wait = view.load_wait
         return wait.wait_ms + wait.gap_ms * view.own_load_requests
 
     def _in_time_ms(self, address: str) -> float:
-        """Predicts the same, ahead of loads that come too late anyway."""
+        """Predicts how long it takes if it precedes loads that are late."""
         view = self.views[address]
         wait = view.load_wait
         return wait.in_time_ms + wait.gap_ms * view.own_load_requests
 
     def _queue_ms(self, address: str) -> float:
-        """Predicts how long a load would wait before it is begun."""
+        """Predicts how long a load is queued before its fetch starts."""
         return (
             self._in_time_ms(address) - self.views[address].load_wait.fetch_ms
         )
@@ -465,11 +475,11 @@
     def _is_full(
         self, home: roster_lib.Member, adapter: str, wait_limits: WaitLimits
     ) -> bool:
-        """Whether a load at its home comes too late for a request.
+        """Whether a load at the home engine comes too late for a request.
 
-        One that has waited past its objective goes on waiting while those
-        that are late have their turn: it is worth more to its caller than a
-        refusal. Where they have none it is told at once.
+        A late request waits on while late loads still progress, since even a
+        late answer is worth more to its caller than a rejection. If they do
+        not, the request is rejected at once.
         """
         address = home.listing.address
         if wait_limits.is_late:
@@ -492,10 +502,10 @@
         return len(self.views[address].pending)
 
     def _is_degraded(self, member: roster_lib.Member, now_ms: int) -> bool:
-        """Whether a copy elsewhere is worth its load.
+        """Whether a target's load or failures justify a copy elsewhere.
 
-        A single failure is no reason: every adapter of that engine would be
-        fetched again somewhere, and push out what others need.
+        A single failure does not: every adapter of that engine would be fetched
+        again elsewhere and evict adapters that other requests need.
         """
         if member.health.failure_share > DEGRADED_FAILURE_SHARE:
             return True
@@ -504,7 +514,7 @@
     def record_load_request(
         self, member: roster_lib.Member, adapter: str
     ) -> None:
-        """Notes a wish for a load, before the target's next word has it."""
+        """Adds a load request to a view until the next update includes it."""
         view = self.view_of(member)
         if view is not None and adapter not in view.pending:
             view.pending |= {adapter}
@@ -555,8 +565,8 @@
             for address, member in by_address.items()
             if base in self.views[address].residents
         }
-        # An engine that is down, or has just restarted, holds no base model;
-        # a load there would wait for seconds.
+        # An engine that is down or has just restarted holds no base model; a
+        # load there would wait for seconds.
         by_address = with_base_model or by_address
         ordered = rendezvous.order(adapter, by_address)
         outdated = [
@@ -567,8 +577,9 @@
         without_adapter = [
             address for address in ordered if address not in outdated
         ]
-        # An engine loads what it held lately ten times as fast, and without a
-        # fetch from the weight store; a queue there is the shorter wait.
+        # An engine loads an adapter that it held recently ten times as fast,
+        # without a fetch from the weight store, so even a queue there is the
+        # shorter wait.
         warm = [
             address
             for address in without_adapter
@@ -578,8 +589,8 @@
         ]
         if warm:
             return by_address[min(warm, key=self._pending_count)]
-        # A target that still serves the old version comes last: replacing
-        # it there makes its callers wait.
+        # Targets that still serve the old version come last, since replacing it
+        # makes their callers wait.
         for address in without_adapter + outdated:
             member = by_address[address]
             if self._queue_ms(address) > HOME_WAIT_FETCHES * self._fetch_ms(
--- a/packages/radishstack/src/radishstack/process/popularity.py
+++ b/packages/radishstack/src/radishstack/process/popularity.py
@@ -1,4 +1,4 @@
-"""How often adapters are asked for, with exponential decay."""
+"""Request rates of adapters, with exponential decay."""
 
 import math
 
@@ -14,10 +14,10 @@
     __slots__ = ("_decay_per_ms", "_heat")
 
     def __init__(self, half_life_ms: int = DEFAULT_HALF_LIFE_MS) -> None:
-        """Starts with no counts.
+        """Creates an empty table.
 
         Args:
-            half_life_ms: After how long a count is worth half.
+            half_life_ms: Time after which a count has decayed to half.
         """
         self._decay_per_ms = math.log(2) / half_life_ms
         self._heat: dict[str, tuple[float, int]] = {}
@@ -37,12 +37,12 @@
         return value * math.exp((at_ms - now_ms) * self._decay_per_ms)
 
     def value(self, adapter: str, now_ms: int) -> float:
-        """Estimates the rate at which an adapter will be asked for.
+        """Estimates the future request rate of an adapter.
 
-        The decayed count alone keeps an adapter that has just fallen idle
-        for as long as it was busy. A busy adapter that has not been asked
-        for over several of its own intervals has most likely fallen idle,
-        so the estimate is discounted by how unlikely that silence is.
+        With the decayed count alone, an adapter that has become idle would be
+        kept for as long as it was busy. A busy adapter without requests for
+        several of its own request intervals has most likely become idle, so
+        the estimate is discounted by how unlikely that idle time is.
 
         Args:
             adapter: ``name@version``.
--- a/packages/radishstack/src/radishstack/process/rendezvous.py
+++ b/packages/radishstack/src/radishstack/process/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous order: the same order of candidates everywhere, unspoken."""
+"""Rendezvous hashing: the same candidate order in every process."""
 
 from collections.abc import Iterable
 import heapq
@@ -11,13 +11,13 @@
 ) -> list[str]:
     """Orders names by their rendezvous weight for a key.
 
-    Removing a name leaves the order of the others as it was, so every
-    process agrees on the order without a message.
+    Every process computes the same order without messages. Removing a name
+    does not change the order of the others.
 
     Args:
         key: What is placed, for example ``lens-terms@3``.
         names: The candidates.
-        limit: How many of the order are wanted, by default all.
+        limit: How many names to return, by default all.
 
     Returns:
         The names, the first choice first.
--- a/packages/radishstack/src/radishstack/process/residency.py
+++ b/packages/radishstack/src/radishstack/process/residency.py
@@ -1,9 +1,8 @@
-"""Which adapters an engine holds, and who is served by them.
+"""The adapter slots of an engine and the attempts that run on them.
 
-The target process is the only one that gives its engine orders, so this is
-the truth about it, but for what the engine does on its own: it restarts
-cold, loads fail, answers to orders are lost. ``reconcile`` takes the engine's
-own list against that.
+Only the target process gives its engine orders, so this table matches the
+engine except where the engine restarts cold, a load fails or the answer to an
+order is lost. ``reconcile`` corrects it from the engine's own list.
 """
 
 import dataclasses
@@ -19,7 +18,7 @@
 
 
 class AdapterState(enum.IntEnum):
-    """Where an adapter stands at a target; the number goes on the wire."""
+    """State of an adapter at a target; the number goes on the wire."""
 
     ABSENT = 0
     LOADING = 1
@@ -33,10 +32,10 @@
     """One occupied adapter slot.
 
     Attributes:
-        standing: Loading, resident or closing.
-        since_ms: Since when.
+        adapter_state: Loading, resident or closing.
+        since_ms: When it entered that state.
         grants: Attempts that run on it, from dispatch to last byte.
-        order: Fencing number of the order that led here.
+        order: Fencing number of the last order for it.
     """
 
     adapter_state: AdapterState
@@ -47,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """The right to run on an adapter; void once the engine restarts."""
+    """Permission to run on an adapter, void once the engine restarts."""
 
     adapter: str
     incarnation: str
@@ -55,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backoff:
-    """Failed loads of an adapter in a row, and until when none is tried."""
+    """Consecutive failed loads of an adapter and the end of its backoff."""
 
     failures: int
     until_ms: int
@@ -65,10 +64,10 @@
     """The adapter slots of one engine."""
 
     def __init__(self, slot_count: int) -> None:
-        """Starts with an engine that has not been seen.
+        """Creates an empty table for an engine without a known incarnation.
 
         Args:
-            slot_count: How many adapters the engine holds at most.
+            slot_count: Number of adapter slots of the engine.
         """
         self.slot_count = slot_count
         self.incarnation = ""
@@ -78,7 +77,7 @@
         self.order = 0
 
     def adapter_state(self, adapter: str, now_ms: int) -> AdapterState:
-        """Returns where an adapter stands."""
+        """Returns the state of an adapter."""
         slot = self.slots.get(adapter)
         if slot is not None:
             return slot.adapter_state
@@ -88,7 +87,7 @@
         return AdapterState.ABSENT
 
     def grant(self, adapter: str) -> Grant:
-        """Grants a place on a resident adapter.
+        """Grants an attempt the use of a resident adapter.
 
         Args:
             adapter: ``name@version``.
@@ -106,7 +105,7 @@
         return Grant(adapter, self.incarnation)
 
     def release(self, grant: Grant) -> None:
-        """Releases a grant; one of an earlier incarnation is void already."""
+        """Releases a grant, if it is of the current incarnation."""
         if grant.incarnation != self.incarnation:
             return
         slot = self.slots.get(grant.adapter)
@@ -122,7 +121,7 @@
         return self.slot_count - len(self.slots)
 
     def loading_count(self) -> int:
-        """Returns how many loads are under way."""
+        """Returns how many loads are in progress."""
         return sum(
             slot.adapter_state is AdapterState.LOADING
             for slot in self.slots.values()
@@ -148,9 +147,8 @@
     def is_latest_order(self, adapter: str, order: int) -> bool:
         """Whether an order is the last one given for an adapter.
 
-        The answer to an earlier one says nothing about the present: taken
-        for the answer to a later unload, it would open an adapter to grants
-        that is about to go.
+        Answers to earlier orders must be ignored. Applied to a later unload,
+        one would allow grants on an adapter that is about to be unloaded.
         """
         slot = self.slots.get(adapter)
         return slot is not None and slot.order == order
@@ -171,10 +169,10 @@
         self.backoffs.pop(adapter, None)
 
     def load_failed(self, adapter: str, now_ms: int) -> Backoff:
-        """Frees the slot of a failed load and backs off.
+        """Frees the slot of a failed load and starts a backoff.
 
         Returns:
-            The backoff; without it a broken adapter would eat the load
+            The backoff. Without it a broken adapter would use up the load
             budget of all others.
         """
         slot = self.slots.get(adapter)
@@ -187,7 +185,7 @@
         return backoff
 
     def close(self, adapter: str, now_ms: int) -> int:
-        """Closes an idle adapter to grants; its unload order comes next.
+        """Stops grants on an idle adapter before its unload order.
 
         Returns:
             The fencing number of the unload order.
@@ -216,7 +214,7 @@
             del self.slots[adapter]
 
     def unload_failed(self, adapter: str, order: int, now_ms: int) -> None:
-        """Opens an adapter again whose unload order was refused."""
+        """Allows grants again after the engine has rejected an unload."""
         slot = self.slots.get(adapter)
         if not self.is_latest_order(adapter, order):
             return
@@ -225,9 +223,9 @@
             slot.since_ms = now_ms
 
     def adapter_missing(self, grant: Grant) -> None:
-        """Records that the engine does not hold an adapter.
+        """Records that the engine does not hold a granted adapter.
 
-        It restarted cold, and this is noticed before its new incarnation.
+        The engine has restarted cold and its new incarnation is not known yet.
         """
         slot = self.slots.get(grant.adapter)
         if (
@@ -239,7 +237,7 @@
             del self.slots[grant.adapter]
 
     def restart(self, incarnation: str, now_ms: int) -> None:
-        """Voids everything: the engine runs anew, with nothing loaded."""
+        """Clears all slots for a new incarnation, which has nothing loaded."""
         del now_ms
         self.incarnation = incarnation
         self.slots.clear()
@@ -247,16 +245,16 @@
     def reconcile(self, resident: frozenset[str], now_ms: int) -> list[str]:
         """Applies the engine's own list of resident adapters.
 
-        An order's answer can be lost, and a load can finish after it was
-        given up; then the engine and this table differ. Adapters with orders
-        under way are left to those.
+        The engine and this table differ if the answer to an order is lost or a
+        load finishes after its timeout. Adapters with an order in progress are
+        left as they are.
 
         Args:
-            resident: What the engine says it holds.
+            resident: Adapters that the engine lists as resident.
             now_ms: Now.
 
         Returns:
-            Adapters that were thought resident and are not.
+            Adapters that this table had as resident and the engine does not.
         """
         lost = []
         for adapter, slot in list(self.slots.items()):
--- a/packages/radishstack/src/radishstack/process/retry_budget.py
+++ b/packages/radishstack/src/radishstack/process/retry_budget.py
@@ -1,14 +1,14 @@
-"""Retries as a bounded share of first tries: no retry storm."""
+"""Limits retries to a fraction of first attempts, against retry storms."""
 
 DEFAULT_RATIO = 0.2
 DEFAULT_RESERVE = 10.0
 
 
 class RetryBudget:
-    """First tries earn retries; retries spend them.
+    """A budget that first attempts fill and retries spend.
 
-    When a failure domain goes, every request would like several tries at
-    once. The budget caps the extra load at a fixed share of the callers' own.
+    When a failure domain is lost, every request needs several attempts at once.
+    The budget caps the additional load at a fixed fraction of the callers' own.
     """
 
     __slots__ = ("_ratio", "_reserve", "_tokens", "spent")
@@ -18,11 +18,11 @@
         ratio: float = DEFAULT_RATIO,
         reserve: float = DEFAULT_RESERVE,
     ) -> None:
-        """Starts with a full reserve.
+        """Creates a full budget.
 
         Args:
-            ratio: Retries earned by one first try.
-            reserve: How many earned retries are kept at most.
+            ratio: Retries earned by one first attempt.
+            reserve: Most retries that the budget holds.
         """
         self._ratio = ratio
         self._reserve = reserve
@@ -30,11 +30,11 @@
         self.spent = 0
 
     def earn(self) -> None:
-        """Counts a first try."""
+        """Counts a first attempt."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
     def spend(self) -> bool:
-        """Spends one retry, if the budget has it."""
+        """Spends one retry; returns whether the budget had one."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/packages/radishstack/src/radishstack/process/routing.py
+++ b/packages/radishstack/src/radishstack/process/routing.py
@@ -1,10 +1,10 @@
-"""Which target an entry daemon tries first, on information that is stale.
+"""Ranks the targets that an entry daemon tries, based on stale information.
 
-Every entry knows the same rendezvous order of an adapter's candidates. It
-walks a short prefix of it and takes the cheapest: the expected wait, plus the
-expected load stall, plus a small price for each step down the order. The
-price keeps an adapter on few targets while they have room, and lets it spill
-in the same order everywhere when they have not.
+Every entry daemon computes the same rendezvous order of an adapter's candidates
+and takes the cheapest of the first few. The cost is the larger of the expected
+queue wait and the weighted load stall, plus a small cost for each step down the
+order. The step cost keeps an adapter on few targets while they have capacity,
+and makes all entry daemons spill over in the same order when they have none.
 """
 
 from collections.abc import Iterable
@@ -18,20 +18,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """How candidates are weighed.
+    """How candidates are ranked.
 
     Attributes:
-        width: How many candidates of the order are looked at.
+        width: How many candidates of the order are considered.
         probe_count: How many of them are probed for one request.
-        fresh_ms: How long a target's word counts as fresh.
-        remember_ms: How long a word on residency is believed.
-        step_ms: Price of one step down the order.
-        load_ms: Expected load time where nothing is known.
-        blocked_ms: Further price of a target whose slots are all in use.
-        unreachable_ms: How long an unreachable target is passed over.
-        stall_floor: Price of a load stall, relative to the same wait in a
-            queue, for a service whose weight is 0.
-        stall_ceiling: The same for a service whose weight is 1.
+        fresh_ms: How long a target's status is fresh.
+        remember_ms: How long a target's status and residency are kept.
+        step_ms: Cost of one step down the order.
+        load_ms: Expected time of an adapter load.
+        blocked_ms: Additional cost of a target whose adapter slots are all in
+            use.
+        unreachable_ms: How long an unreachable target is skipped.
+        stall_floor: Cost of a load stall, relative to the same wait in a queue,
+            for a service whose stall weight is 0.
+        stall_ceiling: The same for a service whose stall weight is 1.
     """
 
     width: int = 4
@@ -48,11 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """A target's word on itself, and what was sent there since.
+    """A target's last status and the attempts sent there since.
 
     Attributes:
-        load: Its word.
-        at_ms: When it arrived.
+        load: Its status.
+        at_ms: When the status arrived.
         sent: Attempts sent there since.
     """
 
@@ -62,10 +63,10 @@
 
 
 class Router:
-    """What one entry daemon believes about the targets; soft state."""
+    """One entry daemon's soft state about the targets."""
 
     def __init__(self, settings: RoutingSettings | None = None) -> None:
-        """Starts knowing nothing."""
+        """Creates a router without observations."""
         self.settings = settings or RoutingSettings()
         self.observations: dict[str, Observation] = {}
         self.residencies: dict[tuple[str, str], tuple[AdapterState, int]] = {}
@@ -84,7 +85,7 @@
             )
 
     def sent(self, target: str, adapter: str, now_ms: int) -> None:
-        """Notes an attempt that was sent, so that the next one sees it."""
+        """Records a sent attempt, so that the next ranking includes it."""
         observation = self.observations.get(target)
         if observation is not None:
             self.observations[target] = dataclasses.replace(
@@ -97,7 +98,7 @@
             )
 
     def failed(self, target: str, now_ms: int) -> None:
-        """Notes a target that could not be reached."""
+        """Records that a target could not be reached."""
         self.unreachable[target] = now_ms + self.settings.unreachable_ms
 
     def _record_residency(
@@ -110,7 +111,7 @@
         self.residencies[(target, adapter)] = (adapter_state, now_ms)
 
     def forget_old(self, now_ms: int) -> None:
-        """Drops what is no longer believed; called now and then."""
+        """Expires old observations and residencies."""
         oldest_ms = now_ms - self.settings.remember_ms
         self.residencies = {
             key: value
@@ -126,14 +127,14 @@
     def residency(
         self, target: str, adapter: str, now_ms: int
     ) -> AdapterState | None:
-        """Returns where an adapter is believed to stand at a target."""
+        """Returns the last known state of an adapter at a target."""
         known = self.residencies.get((target, adapter))
         if known is None or now_ms - known[1] > self.settings.remember_ms:
             return None
         return known[0]
 
     def usable(self, target: str, now_ms: int) -> bool:
-        """Whether a target may take new work, as far as is known here."""
+        """Whether a target may get new work, as far as is known here."""
         if target in self.listed_leaving:
             return False
         if self.unreachable.get(target, now_ms) > now_ms:
@@ -144,7 +145,7 @@
     def shortlist(
         self, candidates: Iterable[str], adapter: str, now_ms: int
     ) -> list[str]:
-        """Returns the candidates that are weighed for a request.
+        """Returns the candidates to rank for a request.
 
         Args:
             candidates: Targets in rendezvous order.
@@ -152,8 +153,8 @@
             now_ms: Now.
 
         Returns:
-            The first usable ones, and any that is believed to hold the
-            adapter.
+            The first usable candidates and all that hold the adapter as far as
+            is known here.
         """
         picked = []
         with_capacity = 0
@@ -166,8 +167,8 @@
                 or known is AdapterState.RESIDENT
             ):
                 picked.append(target)
-                # A full target does not count, so that an adapter hotter
-                # than a few engines can carry spreads along the order.
+                # Full targets do not count, so that an adapter with more
+                # requests than a few engines can serve spreads down the order.
                 with_capacity += not self._full(target)
         return picked
 
@@ -178,9 +179,9 @@
     def to_probe(
         self, shortlist: list[str], adapter: str, now_ms: int
     ) -> list[str]:
-        """Returns the first few candidates whose word is not fresh.
+        """Returns the first few candidates without a fresh status.
 
-        A word on the adapter itself counts, whatever it was asked for.
+        A candidate whose residency of the adapter is unknown is probed too.
         """
         fresh_after_ms = now_ms - self.settings.fresh_ms
         first = shortlist[: self.settings.probe_count]
@@ -227,8 +228,8 @@
             wait_ms += self._wait_of_sent(observation)
         if not adapter:
             return wait_ms
-        # One weight store serves all targets, so a load takes about as long
-        # at each. Following their differing estimates would scatter a cold
+        # One weight store serves all targets, so a load takes about the same
+        # time at each. Using their differing estimates would scatter a cold
         # adapter over many targets, and each copy costs a load and a slot.
         load_ms = float(self.settings.load_ms)
         match self.residency(target, adapter, now_ms):
--- a/packages/radishstack/src/radishstack/process/shared_budget.py
+++ b/packages/radishstack/src/radishstack/process/shared_budget.py
@@ -1,31 +1,31 @@
-"""A retry budget that many processes share without asking each other.
+"""A retry budget that many processes share without messages.
 
-The bound is on all of them together: in any window, sends beyond the first
-of each request stay under a ratio of the requests plus a fixed allowance.
-Each process spends its ratio on the requests it took itself, and an equal
-part of the allowance, so the sum keeps the bound however uneven the load is
-and whoever is cut off.
+The limit applies to all processes together: in any window, sends beyond the
+first of each request stay below a ratio of the requests plus a fixed allowance.
+Each process spends the ratio of the requests that it accepted itself and an
+equal share of the allowance. The sum therefore stays below the limit even if
+the load is uneven or a process is cut off.
 """
 
 import collections
 
 
 class SharedBudget:
-    """One process' part of the budget for one service.
+    """One process' share of the budget for one service.
 
     Attributes:
-        part: This process' part of the fixed allowance; it shrinks as more
+        part: This process' share of the fixed allowance, which shrinks as more
             processes become known.
     """
 
     __slots__ = ("_ratio", "_requests", "_spent", "_window_ms", "part")
 
     def __init__(self, ratio: float, part: float, window_ms: int) -> None:
-        """Starts with nothing spent.
+        """Creates a budget with nothing spent.
 
         Args:
             ratio: Extra sends that one request earns.
-            part: This process' part of the fixed allowance.
+            part: This process' share of the fixed allowance.
             window_ms: Length of the sliding window.
         """
         self._ratio = ratio
@@ -46,13 +46,13 @@
         self._requests.append(now_ms)
 
     def can_spend(self, now_ms: int) -> bool:
-        """Whether the budget has one more extra send."""
+        """Whether the budget allows one more extra send."""
         self._drop_old(now_ms)
         allowed = self._ratio * len(self._requests) + self.part
         return len(self._spent) + 1 <= allowed
 
     def spend(self, now_ms: int) -> bool:
-        """Spends one extra send if the budget has it."""
+        """Spends one extra send; returns whether the budget allowed it."""
         if not self.can_spend(now_ms):
             return False
         self._spent.append(now_ms)
--- a/tests/fleet/test_audience.py
+++ b/tests/fleet/test_audience.py
@@ -1,4 +1,4 @@
-"""Which gateways a process beside an engine tells, and when: no I/O."""
+"""Tests which gateways a sidecar updates, and when, without I/O."""
 
 from radishstack.process import audience as audience_lib
 
@@ -6,7 +6,7 @@
 
 
 def _audience(count: int, *, users: int = 0) -> audience_lib.Audience:
-    """Makes an audience of which the first gateways use the engine."""
+    """Creates an audience whose first ``users`` gateways are active."""
     audience = audience_lib.Audience()
     _send_demands(
         audience, count, users, NOW_MS - audience_lib.ACTIVE_MS - 1, new=True
@@ -35,7 +35,7 @@
 def _count_updates(
     count: int, *, users: int, seconds: int = 10
 ) -> dict[str, int]:
-    """Returns how often each gateway is told in some seconds."""
+    """Returns how many updates each gateway gets in some seconds."""
     audience = _audience(count, users=users)
     updates: dict[str, int] = {}
     for now_ms in range(NOW_MS, NOW_MS + seconds * 1_000, 10):
@@ -48,11 +48,10 @@
 
 
 def test_active_gateways_get_frequent_updates_and_idle_ones_rare() -> None:
-    """Symptom: a tenth of each VM goes to control at a hundred VMs.
+    """Guards against control messages that use a tenth of each VM at 100 VMs.
 
-    Sequence: 68 gateways stand before 32 engines, each uses a few. Cause:
-    every engine's process told all of them three times a second, 206 words a
-    second; 90 are enough.
+    Each of 68 gateways uses a few of 32 engines, and each sidecar updated all
+    gateways three times a second: 206 messages a second, where 90 are enough.
     """
     updates = _count_updates(68, users=5)
     assert all(updates[f"10.0.0.{number}"] >= 28 for number in range(5)), (
@@ -63,16 +62,16 @@
 
 
 def test_idle_gateways_in_a_small_fleet_get_frequent_updates() -> None:
-    """Few gateways cost little, and fresh beliefs serve their callers."""
+    """Updates to few gateways cost little, and a fresh status helps callers."""
     updates = _count_updates(6, users=0)
     assert all(count >= 45 for count in updates.values()), updates
 
 
 def test_an_update_states_when_the_next_one_comes() -> None:
-    """Symptom: engines that nobody uses pass for gone.
+    """Guards against treating unused engines as lost.
 
-    Sequence: an idle gateway hears of an engine once a second. Cause: it
-    judged silence by the pace at which users are told.
+    An idle gateway gets an update of an engine once a second, and judged it
+    stale by the interval of active gateways.
     """
     audience = _audience(68)
     _send_demands(audience, 68, 1, NOW_MS)
@@ -87,7 +86,7 @@
 
 
 def test_gateways_that_wait_for_a_load_get_changes_at_once() -> None:
-    """A request that waits for a load must not wait for the regular word."""
+    """A request that waits for a load must not wait for a regular update."""
     audience = _audience(68)
     audience.due(NOW_MS, changed=False, held=frozenset())
     address = ("10.0.0.3", 80)
@@ -105,11 +104,11 @@
 
 
 def test_a_gateway_that_becomes_active_is_updated_at_once() -> None:
-    """Symptom: an engine passes for silent to a gateway that begins to use it.
+    """Guards against treating an engine as stale when its use begins.
 
-    Sequence: a gateway that was told a while ago says that it uses the engine.
-    Cause: it was told again only when the idle ones were due, after more than
-    the 700 ms for which it waits for an answer.
+    A gateway reports its first use some time after its last update. Its next
+    update came at the idle interval, after more than the 700 ms for which it
+    waits for an answer.
     """
     audience = _audience(68)
     audience.due(NOW_MS, changed=False, held=frozenset())
@@ -121,16 +120,16 @@
 
 
 def test_updates_name_every_gateway_in_turn() -> None:
-    """Symptom: half of all control bytes are names of gateways.
+    """Guards against control traffic that consists mostly of gateway names.
 
-    Sequence: 68 gateways, each word names all of them, once a second from
-    each of 32 engines: 107 of 172 MB between failure domains in 45 s. Cause:
-    names in a word grew with the fleet, and words did as well.
+    Each update named all of 68 gateways and was sent once a second by each of
+    32 engines: 107 of 172 MB between failure domains in 45 s. Both the names in
+    an update and the number of updates grew with the fleet.
     """
     for count in (3, 68, 390):
         audience = _audience(count)
         named: set[str] = set()
-        # As many words as 32 engines tell one idle gateway in some seconds.
+        # As many updates as 32 engines send to one idle gateway in seconds.
         for _ in range(128):
             names = audience.next_names()
             assert len(names) <= audience_lib.NAMES_PER_UPDATE
@@ -139,7 +138,7 @@
 
 
 def test_a_lost_gateway_gets_no_more_updates() -> None:
-    """Its address may belong to another process by then."""
+    """Another process may have its address by then."""
     audience = _audience(3)
     audience.expire(NOW_MS + audience_lib.GATEWAY_TTL_MS)
     assert not audience.due(NOW_MS, changed=True, held=frozenset())
--- a/tests/fleet/test_cold_rush.py
+++ b/tests/fleet/test_cold_rush.py
@@ -1,8 +1,9 @@
-"""Load pattern: demand moves to many cold adapters at once.
+"""Tests a rush in which demand moves to many cold adapters at once.
 
-Engines bring in four adapters at a time, so a rush above that rate queues.
-What is accepted must be served in time; the rest must be told at once, with a
-time to come back that fits the queue. Decisions only, in virtual time.
+Engines load four adapters at a time, so a rush above that rate queues. Accepted
+requests must be served in time. The others must be rejected at once, with a
+retry delay that matches the queue. Only decisions are simulated, in virtual
+time.
 """
 
 import collections
@@ -20,12 +21,13 @@
 LOAD_MS = 250
 WARM_LOAD_MS = 25
 MAX_WARM = 96
-# Chance of two requests in one step: 115 a second.
+# Probability of two requests in one step, which gives 115 requests a second.
 PAIR_PROBABILITY = 0.575
 RUN_MS = 600
 STEP_MS = 10
 RUSH_MS = 4_000
-# An engine brings in 16 a second, six of them 96; the rush is twice that.
+# An engine loads 16 adapters a second and six engines 96; the rush is twice
+# that.
 ARRIVALS_PER_STEP = 2
 WAIT_BOUND_MS = 1_500
 OBJECTIVE_MS = 800
@@ -67,7 +69,7 @@
             assert len(self.residents) + len(self.transit) <= SLOTS
 
     def fetch(self, adapter: str) -> int:
-        """Brings an adapter in; returns how long that takes."""
+        """Loads an adapter; returns how long that takes."""
         held = adapter in self.warm
         self.warm.pop(adapter, None)
         self.warm[adapter] = None
@@ -114,7 +116,7 @@
         self.timed_out = 0
 
     def demand(self, name: str, now_ms: int) -> adapter_keeper.Demand:
-        """Returns all that the gateway uses and waits for at an engine."""
+        """Returns the gateway's uses and load requests at an engine."""
         uses = tuple(
             adapter_keeper.Use(adapter, 1, 0)
             for at, adapter, _ in self.running
@@ -135,7 +137,7 @@
         )
 
     def exchange_updates(self, now_ms: int) -> None:
-        """Sidecars hear the gateway, and it hears them."""
+        """Exchanges demands and status updates with all sidecars."""
         for name, engine in self.engines.items():
             demand = self.demand(name, now_ms)
             engine.keeper.handle_update(demand, now_ms)
@@ -152,7 +154,7 @@
             self.placement.handle_update(member.listing.address, view)
 
     def place(self, request: _Waiting, now_ms: int) -> bool:
-        """Places one request; returns whether it goes on waiting."""
+        """Places one request; returns whether it continues to wait."""
         usable = self.roster.usable("llm", now_ms)
         waited_ms = now_ms - request.since_ms
         patience = placement_lib.WaitLimits(
@@ -182,18 +184,18 @@
         return True
 
     def sent(self, instance: str, now_ms: int) -> None:
-        """Takes the end of a send."""
+        """Records the result of a send."""
         self.roster.answered(instance, 50)
 
     def arrivals(self) -> list[str]:
-        """Returns the adapters asked for in one step."""
+        """Returns the adapters requested in one step."""
         return [
             f"base/a{self.random.randrange(3_000)}"
             for _ in range(ARRIVALS_PER_STEP)
         ]
 
     def run(self) -> None:
-        """Plays the rush and what follows it."""
+        """Simulates the rush and the time after it."""
         for now_ms in range(1_000, 4_000 + self.length_ms, STEP_MS):
             self.running = [one for one in self.running if one[2] > now_ms]
             for engine in self.engines.values():
@@ -209,11 +211,10 @@
 
 
 def test_a_rush_of_cold_adapters_is_served_at_the_engines_load_rate() -> None:
-    """Symptom: in a rush everybody waits, and nearly all are late.
+    """Guards against late answers to nearly all requests in a rush.
 
-    Sequence: twice as many cold adapters are asked for as engines can bring
-    in. Cause: all of them queued, so each waited for the loads of those that
-    had given up meanwhile.
+    Twice as many cold adapters are requested as engines can load. All requests
+    queued, so each waited for loads whose callers had timed out.
     """
     for seed in range(5):
         rush = _Rush(seed)
@@ -222,12 +223,12 @@
         in_time = sum(wait_ms <= OBJECTIVE_MS for wait_ms in rush.waits_ms)
         assert in_time >= possible, (in_time, possible)
         assert rush.timed_out == 0, rush.timed_out
-        # A refusal is told at once, not after a wait in vain.
+        # Requests are rejected at once, not after a useless wait.
         assert statistics.mean(rush.rejected_ms) <= STEP_MS
 
 
 class _Ordinary(_Rush):
-    """Zipf popularity, two of six engines away, a failure now and then."""
+    """Zipf popularity, four of six engines and occasional failures."""
 
     engine_count = 4
     length_ms = 12_000
@@ -239,14 +240,14 @@
         self.requested: set[str] = set()
 
     def sent(self, instance: str, now_ms: int) -> None:
-        """One send in ten fails, as where answers are lost."""
+        """Records a failure for one send in ten, as if answers were lost."""
         if self.random.random() < 0.1:
             self.roster.failed(instance, now_ms)
         else:
             self.roster.answered(instance, 50)
 
     def arrivals(self) -> list[str]:
-        """About 115 requests a second."""
+        """Returns the adapters of about 115 requests a second."""
         if self.random.random() > PAIR_PROBABILITY:
             return []
         picked = self.random.choices(
@@ -258,13 +259,13 @@
 
 
 def test_adapters_stay_on_few_engines() -> None:
-    """Symptom: the weight store is asked twice for every adapter.
+    """Guards against fetching every adapter twice from the weight store.
 
-    Sequence: ordinary load on four of six engines, one send in ten fails.
-    Cause: a single failure had all adapters of an engine loaded elsewhere, and
-    a queue of four sent an adapter to an engine that had never held it. Each
-    adapter has to be fetched once: 1.06 fetches per adapter over three seeds
-    (1.28 before).
+    Under ordinary load on four of six engines, one send in ten fails. A single
+    failure had all adapters of an engine loaded elsewhere, and a queue of four
+    loads moved an adapter to an engine that had never held it. Each adapter has
+    to be fetched once: over three seeds there were 1.28 fetches per adapter
+    with these faults and 1.06 without.
     """
     for seed in range(3):
         load = _Ordinary(seed)
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -1,4 +1,4 @@
-"""The orders of one engine, without I/O."""
+"""Tests the orders for one engine, without I/O."""
 
 import dataclasses
 
@@ -46,10 +46,10 @@
 
 
 def test_an_adapter_in_use_is_never_unloaded() -> None:
-    """Symptom: an engine refuses requests in the middle of a rush.
+    """Guards against rejected requests in a rush.
 
-    Sequence: all places are taken and in use, another adapter is wanted.
-    Cause: the least recently used adapter was evicted although it served.
+    All adapter slots are in use when another adapter is requested, and the
+    least recently used one was evicted while requests ran on it.
     """
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
@@ -59,7 +59,7 @@
 
 
 def test_the_least_popular_idle_adapter_is_evicted() -> None:
-    """Popularity decides among the idle ones."""
+    """The idle adapter with the lowest request rate is unloaded."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(
         adapter_keeper.Use(name, 0, 9 if name != "base/a2" else 1)
@@ -94,7 +94,7 @@
 
 
 def test_uses_of_a_lost_gateway_expire() -> None:
-    """Its uses lapse; the engine itself protects what still runs."""
+    """The engine itself still protects runs from an unload."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
     keeper.handle_update(_demand(uses=uses), 1_000)
@@ -105,7 +105,7 @@
 
 
 def test_no_order_without_a_new_report() -> None:
-    """What an order did is read, not assumed."""
+    """The effect of an order is read from a report, not assumed."""
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand("base/a1", "base/a2"), 1_000)
     keeper.observe(_report({}))
@@ -117,7 +117,7 @@
 
 
 def test_no_order_right_after_a_process_pause() -> None:
-    """What was known before it is old, and another may have acted."""
+    """State from before the pause is old, and others may have given orders."""
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand("base/a1"), 1_000)
     keeper.hold(1_400)
@@ -127,11 +127,11 @@
 
 
 def test_a_full_engine_is_polled_at_the_idle_interval() -> None:
-    """Symptom: a process beside a full engine takes 5 % of a core.
+    """Guards against a sidecar that uses 5 % of a core at a full engine.
 
-    Sequence: all places are in use and another adapter is wanted. Cause: the
-    engine was asked 66 times a second whether a place is free, though a place
-    comes free by a gateway's word that its last run has ended.
+    All slots are in use when another adapter is requested, and the engine was
+    polled 66 times a second for a free slot. Polls are not needed: a gateway
+    reports the end of the run that frees it.
     """
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
@@ -142,7 +142,7 @@
 
 
 def test_the_end_of_a_run_wakes_the_sidecar_if_a_load_needs_a_slot() -> None:
-    """The word that a run has ended has its place taken at once."""
+    """A report of the end of a run leads to the next order at once."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
     assert keeper.handle_update(_demand("base/new", uses=uses), 1_000) is False
@@ -158,7 +158,7 @@
 
 
 def test_the_end_of_a_run_does_not_wake_the_sidecar_if_no_load_waits() -> None:
-    """A look for every run that ends would cost as much as a steady pace."""
+    """A poll for every ended run would cost as much as frequent polling."""
     keeper = adapter_keeper.Keeper()
     uses = tuple(adapter_keeper.Use(name, 1, 1) for name in _full())
     keeper.handle_update(_demand(uses=uses), 1_000)
@@ -168,12 +168,11 @@
 
 
 def test_adapters_held_only_between_two_updates_are_reported() -> None:
-    """Symptom: a tenth more adapters are fetched from the weight store.
+    """Guards against a tenth more fetches from the weight store.
 
-    Sequence: gateways are told of an engine once a second; adapters come and
-    go there in half a second. Cause: a gateway knows only from words what an
-    engine held lately and loads in a tenth of the time, and the words never
-    named these.
+    Gateways get a status update once a second, while adapters are loaded and
+    unloaded within half a second. Updates did not name them, so gateways did
+    not load them again where that takes a tenth of the time.
     """
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand(), 1_000)
@@ -184,10 +183,10 @@
 
 
 def test_an_overdue_load_is_polled_at_growing_intervals() -> None:
-    """Symptom: looks at engines double while the weight store is slow.
+    """Guards against twice as many polls while the weight store is slow.
 
-    Sequence: a load that takes a quarter of a second takes a whole one.
-    Cause: once overdue it was looked for every 15 ms.
+    A load takes a second instead of a quarter of one, and the engine was polled
+    every 15 ms for the overdue load.
     """
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand("base/a1"), 1_000)
@@ -205,7 +204,7 @@
 
 
 def test_an_empty_engine_gets_its_base_model_first() -> None:
-    """Adapters need it; the engine refuses them without."""
+    """The engine rejects adapters without their base model."""
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand("base/a1"), 1_000)
     empty = adapter_keeper.Report(0, {}, {}, False, 0, 0)
@@ -214,7 +213,7 @@
 
 
 def test_an_idle_adapter_of_an_old_version_is_unloaded() -> None:
-    """It would only be refused, and its place is wanted."""
+    """Gateways no longer use that version, and its slot is needed."""
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand(announced={"base/a1": 2}), 1_000)
     keeper.observe(_report({"base/a1": 1, "base/a2": 1}))
@@ -223,7 +222,7 @@
 
 
 def test_an_ended_incarnation_is_never_accepted_again() -> None:
-    """A gateway that lags goes on naming it for seconds."""
+    """A gateway with stale data continues to name it for seconds."""
     incarnations = incarnation.Incarnations()
     assert incarnations.named("new") and incarnations.named("old")
     incarnations.refused()
@@ -232,10 +231,10 @@
 
 
 def test_shares_of_the_retry_budget_add_up_to_the_whole() -> None:
-    """Symptom: a failing service gets several times its load in repeats.
+    """Guards against retries that multiply the load of a failing service.
 
-    Sequence: all requests fail at all gateways, unevenly loaded. Cause: each
-    gateway spent the whole allowance.
+    All requests fail at unevenly loaded gateways, and each gateway spent the
+    whole allowance.
     """
     ratio, extra, gateways = 0.2, 60.0, 6
     spent, requests = 0, 0
@@ -250,7 +249,7 @@
 
 
 class KeeperMachine(stateful.RuleBasedStateMachine):
-    """An engine that answers orders late, never, or at once."""
+    """An engine that answers orders at once, late or never."""
 
     adapters = st.sampled_from([f"base/a{number}" for number in range(8)])
 
@@ -267,7 +266,7 @@
         self.waited_for: list[str] = []
 
     def _send_demand(self, *, sent: int) -> None:
-        """The gateway's word: all that it uses and waits for."""
+        """Sends the gateway's uses and load requests to the keeper."""
         uses = tuple(adapter_keeper.Use(name, 1, sent) for name in self.in_use)
         demand = _demand(*self.waited_for, uses=uses)
         self.keeper.handle_update(demand, self.now_ms)
@@ -291,7 +290,7 @@
 
     @stateful.rule()
     def wait_no_more(self) -> None:
-        """The request that waits longest is sent or refused."""
+        """The request that waits longest is sent or rejected."""
         if self.waited_for:
             self.waited_for.pop(0)
         self._send_demand(sent=0)
@@ -324,19 +323,19 @@
 
     @stateful.rule()
     def late_order(self) -> None:
-        """An order that had no answer is carried out after all."""
+        """The engine carries out an order that it has not answered."""
         if self.delayed:
             self._carry_out(self.delayed.pop(0))
 
     @stateful.rule()
     def loads_finish(self) -> None:
-        """What is on its way arrives."""
+        """All adapters in transit become resident."""
         self.residents.update(self.in_transit)
         self.in_transit.clear()
 
     @stateful.rule(step_ms=st.integers(1, 400))
     def wait(self, step_ms: int) -> None:
-        """Time passes; gateways renew their word."""
+        """Time passes and the gateway renews its demand."""
         self.now_ms += step_ms
         self._send_demand(sent=0)
 
@@ -359,11 +358,11 @@
 
 
 def test_a_load_that_no_request_waits_for_is_not_ordered() -> None:
-    """Symptom: engines bring in adapters for callers that have left.
+    """Guards against loads for callers that no longer wait.
 
-    Sequence: a request waits, is refused or sent elsewhere, and the gateway's
-    next word does not name its adapter. Cause: load requests lapsed by time
-    alone, so a load for nobody took a place from those that waited.
+    A waiting request is rejected or sent elsewhere, so the gateway's next
+    demand does not name its adapter. Load requests expired only by time, so the
+    load took a slot from adapters that were needed.
     """
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand("base/a1"), 1_000)
@@ -374,7 +373,7 @@
 
 
 def test_the_adapter_with_the_most_waiting_requests_is_loaded_first() -> None:
-    """Load pattern: places are scarce, and one load can serve several."""
+    """Slots are scarce, and one load can serve several requests."""
     keeper = adapter_keeper.Keeper()
     demand = _demand("base/a1")
     keeper.handle_update(demand, 1_000)
@@ -388,7 +387,7 @@
 
 
 def test_a_load_request_that_waits_long_is_not_starved() -> None:
-    """A rare adapter waits at most as long as its rivals' callers are many."""
+    """Its wait is bounded by the number of requests that wait for others."""
     keeper = adapter_keeper.Keeper()
     keeper.handle_update(_demand("base/rare"), 1_000)
     wants = (
@@ -401,11 +400,11 @@
 
 
 def test_the_load_wait_is_learned_when_all_slots_are_in_use() -> None:
-    """Symptom: under load callers wait for loads that come too late.
+    """Guards against waits for loads that come too late.
 
-    Sequence: all places are in use, runs end one every 200 ms, and eight more
-    adapters are wanted. Cause: the wait was worked out from the engine's best
-    rate, a load every 62 ms, instead of the rate at which places fall free.
+    All slots are in use, a run ends every 200 ms, and eight more adapters are
+    requested. The wait was computed from the engine's highest load rate, a load
+    every 62 ms, instead of the rate at which slots become free.
     """
     keeper = adapter_keeper.Keeper()
     now_ms, accepted = 1_000, 0
@@ -444,7 +443,7 @@
 
 
 def test_loads_are_ordered_by_due_time() -> None:
-    """Load pattern: two services of one fleet, with unlike objectives."""
+    """Two services of one fleet have different latency objectives."""
     keeper = adapter_keeper.Keeper()
     wants = (_due("base/patient", 900, 900), _due("base/urgent", 300, 300))
     keeper.handle_update(dataclasses.replace(_demand(), wants=wants), 1_000)
@@ -453,11 +452,11 @@
 
 
 def test_a_load_that_is_late_for_all_yields_to_one_in_time() -> None:
-    """Symptom: in a rush nearly everybody is answered late.
+    """Guards against late answers to nearly all requests in a rush.
 
-    Sequence: more adapters are asked for than come in time. Cause: first come
-    first served gives each place to the one that has waited longest, which is
-    late by then.
+    More adapters are requested than can be loaded in time. First come, first
+    served gives each slot to the load that has waited longest and is late by
+    then.
     """
     keeper = adapter_keeper.Keeper()
     late = _due("base/late", -200, -100)
@@ -467,7 +466,7 @@
     keeper.handle_update(demand, 1_000)
     keeper.observe(_report({}))
     order = keeper.decide(1_010)
-    # One of its callers is still in time, and the first one waits longest.
+    # One of its callers is still in time, and its first one is due first.
     assert order.adapter == "base/mixed"
     keeper.settled(order, 1_010, refused=False)
     keeper.observe(_report({}, {"base/mixed": 1}, accepted=1))
@@ -480,16 +479,16 @@
 
 
 def test_late_loads_that_are_always_passed_over_report_a_long_wait() -> None:
-    """Symptom: callers are held for a second and then refused.
+    """Guards against rejecting callers only after a wait of a second.
 
-    Sequence: an overload lasts, so loads that are late are passed over again
-    and again. Cause: their wait was worked out from the rate of all loads.
+    In a lasting overload late loads are always passed over, and their predicted
+    wait was computed from the rate of all loads.
     """
     keeper = adapter_keeper.Keeper()
     late = tuple(_due(f"base/l{number}", -10, -10) for number in range(4))
     for turn in range(12):
         now_ms = 1_000 + 100 * turn
-        # Each turn goes to a load that is in time.
+        # Each order is for a load that is in time.
         wants = (*late, _due(f"base/n{turn}", 600, 600))
         keeper.handle_update(
             dataclasses.replace(_demand(), wants=wants), now_ms
@@ -504,11 +503,10 @@
 
 
 def test_time_without_a_base_model_is_not_learned_as_load_time() -> None:
-    """Symptom: after a power cut callers are refused for a second.
+    """Guards against rejecting callers for a second after a power cut.
 
-    Sequence: engines are empty, and load requests wait for their base model.
-    Cause: the time in which no load could go on counted as the time that one
-    takes.
+    Engines are empty and load requests wait for the base model, and the time in
+    which no load was possible counted as load time.
     """
     keeper = adapter_keeper.Keeper()
     wants = tuple(_due(f"base/n{number}", 600, 600) for number in range(4))
@@ -522,10 +520,10 @@
 
 
 def test_the_end_of_the_last_use_is_reported() -> None:
-    """Symptom: a place stays taken for a second after its last run.
+    """Guards against a slot that stays in use for a second after its last run.
 
-    Sequence: a gateway's only request at an engine ends. Cause: with nothing
-    in use it had nothing to tell, and was believed to use the adapter still.
+    A gateway's only request at an engine ends. Without uses it sent no demand,
+    so the sidecar assumed that it still used the adapter.
     """
     table = demand_table.DemandTable()
     assert not table.has_update
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go and where adapters are loaded, without I/O."""
+"""Tests the choice of targets for requests and loads, without I/O."""
 
 import dataclasses
 import random
@@ -49,7 +49,7 @@
 
 
 def test_a_holder_is_preferred_to_a_load() -> None:
-    """A load would cost the caller a quarter of a second."""
+    """A load would delay the caller by a quarter of a second."""
     roster = _roster(4)
     placement = _placement(roster, i2={ADAPTER: 1})
     choice = _choose(placement, roster)
@@ -57,7 +57,7 @@
 
 
 def test_every_gateway_picks_the_same_home_without_messages() -> None:
-    """Without a message, so that one load serves the callers of all."""
+    """One load then serves the callers of all gateways."""
     roster = _roster(6)
     homes = {_choose(_placement(roster), roster).load.listing.instance}
     for seed in range(5):
@@ -68,7 +68,7 @@
 
 
 def test_a_load_under_way_is_shared() -> None:
-    """Waiters join a target that is already loading, not their own home."""
+    """Requests wait for a target that is already loading, not for the home."""
     roster = _roster(6)
     placement = _placement(roster)
     home = _choose(placement, roster).load
@@ -78,7 +78,7 @@
 
 
 def test_a_busy_holder_gets_a_second_copy_beside_it() -> None:
-    """Load pattern: one adapter takes more than one engine can carry."""
+    """One adapter gets more requests than one engine can serve."""
     roster = _roster(4)
     placement = _placement(roster, i0={ADAPTER: 1})
     roster.members["i0"].listing = dataclasses.replace(
@@ -91,10 +91,10 @@
 
 
 def test_no_copy_is_loaded_where_all_engines_fail() -> None:
-    """Symptom: each adapter is fetched once more while engines fail.
+    """Guards against fetching each adapter again while all engines fail.
 
-    Sequence: every engine fails half of its requests for some seconds. Cause:
-    a copy was made at an engine that fails as often as the first one.
+    Every engine fails half of its requests for some seconds, and a copy was
+    loaded at an engine that fails as often as the first one.
     """
     roster = _roster(4, slots=64)
     placement = _placement(roster, i2={ADAPTER: 1})
@@ -109,10 +109,10 @@
 
 
 def test_an_old_version_serves_only_while_the_new_one_is_loaded() -> None:
-    """Symptom: callers get an answer of a version that was replaced.
+    """Guards against answers of a version that was replaced.
 
-    Sequence: a version is announced while the old one is resident. Cause:
-    residency was matched by name only.
+    A version is announced while the old one is resident, and residency was
+    matched by name only.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
@@ -127,11 +127,10 @@
 
 
 def test_each_of_several_announced_versions_has_its_own_grace_period() -> None:
-    """Symptom: callers get a version two behind, five seconds after it went.
+    """Guards against answers of a version replaced twice, five seconds ago.
 
-    Sequence: a version is announced, and the next one before the first is
-    everywhere. Cause: the time for which an older version still serves began
-    anew with each announcement.
+    A second version is announced before the first is loaded everywhere, and
+    each announcement restarted the grace period of all older versions.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
@@ -145,16 +144,16 @@
     for view in placement.views.values():
         view.received_at_ms = later_ms
     assert _choose(placement, roster, later_ms).send is None
-    # The version between is not over yet.
+    # The grace period of the version between is not over yet.
     placement.views[roster.members["i1"].listing.address].residents[ADAPTER] = 2
     assert _choose(placement, roster, later_ms).send is roster.members["i1"]
 
 
 def test_an_engine_that_is_down_is_no_home() -> None:
-    """Symptom: every new adapter waits for seconds after a crash.
+    """Guards against waits of seconds for each new adapter after a crash.
 
-    Sequence: an engine restarts empty; loads there wait for its base model.
-    Cause: it was the first of the order, and nobody looked what it holds.
+    An engine restarts empty and its loads wait for the base model, but it was
+    chosen as the first of the order without checking what it holds.
     """
     roster = _roster(4)
     placement = _placement(roster)
@@ -164,7 +163,7 @@
 
 
 def test_an_engine_with_a_stale_status_is_no_home() -> None:
-    """Its engine may run, but nobody there takes a wish for a load."""
+    """Its engine may run, but no sidecar accepts load requests there."""
     roster = _roster(2)
     placement = _placement(roster)
     home = _choose(placement, roster).load
@@ -173,7 +172,7 @@
 
 
 def test_failures_never_make_all_targets_of_a_service_unusable() -> None:
-    """With every target in doubt, the doubt is about this process."""
+    """If every target fails, the cause is probably this process."""
     roster = _roster(2)
     for _ in range(4):
         roster.failed("i0", NOW_MS)
@@ -185,7 +184,7 @@
 
 
 def test_the_later_of_two_listings_at_one_address_is_used() -> None:
-    """Symptom: each send to a restarted target is refused for seconds."""
+    """Guards against rejected sends to a restarted target for seconds."""
     roster = _roster(1)
     old = roster.members["i0"].listing
     roster.upsert(
@@ -204,7 +203,7 @@
 
 
 def test_entries_that_expire_in_an_outage_are_kept_for_a_grace_period() -> None:
-    """And one that does not come back is then given up."""
+    """A target that is not listed again is dropped after the grace period."""
     roster = _roster(2)
     roster.outage_ended(NOW_MS, away_ms=4_000)
     assert not roster.remove("i0", NOW_MS + 100)
@@ -215,10 +214,10 @@
 
 
 def test_a_plain_target_that_does_not_answer_is_avoided() -> None:
-    """Symptom: a third of all counter calls run into their time limit.
+    """Guards against timeouts of a third of all calls to a service.
 
-    Sequence: a target goes dark without a word; its connections stay open.
-    Cause: only an error counted as evidence, and a dark target gives none.
+    A target stops answering while its connections stay open, and only errors
+    counted against a target.
     """
     roster = _roster(3)
     placement = _placement(roster)
@@ -231,11 +230,10 @@
 
 
 def test_an_adapter_held_on_a_frozen_vm_is_loaded_elsewhere() -> None:
-    """Symptom: seconds of requests vanish into a frozen VM.
+    """Guards against seconds of requests lost to a frozen VM.
 
-    Sequence: engine and sidecar freeze together; the engine still stands in
-    the list with its adapters. Cause: what it held was believed for longer
-    than it takes to load the adapter elsewhere.
+    Engine and sidecar freeze together while the engine is still listed with its
+    adapters, and the list was used for longer than a load elsewhere takes.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
@@ -250,10 +248,10 @@
 
 
 def test_a_long_update_interval_does_not_make_a_status_stale() -> None:
-    """Symptom: idle engines pass for frozen, and adapters are fetched twice.
+    """Guards against fetching adapters twice because idle engines look frozen.
 
-    Sequence: the process beside an engine tells a gateway that does not use
-    it once a second. Cause: 700 ms without a word counted as silence.
+    A sidecar updates an idle gateway once a second, and a status was stale
+    after 700 ms without an update.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
@@ -263,13 +261,13 @@
     choice = _choose(placement, roster, now_ms)
     assert choice.send is roster.members["i0"]
     assert placement.has_fresh_status(roster.members["i0"], now_ms)
-    # Two promised words are missing.
+    # Two updates are missing.
     now_ms = NOW_MS + 2_100
     assert not placement.has_fresh_status(roster.members["i0"], now_ms)
 
 
 def test_an_adapter_held_between_two_updates_is_loaded_there_again() -> None:
-    """It takes a tenth of the time there, and no fetch from the store."""
+    """The load there takes a tenth of the time and needs no fetch."""
     roster = _roster(4)
     placement = _placement(roster)
     first = _choose(placement, roster).load
@@ -283,12 +281,11 @@
 
 
 def test_an_engine_that_ignores_a_load_request_becomes_stale_soon() -> None:
-    """Symptom: callers wait for seconds for a load on a frozen VM.
+    """Guards against waits of seconds for a load on a frozen VM.
 
-    Sequence: a gateway that was told of an engine once a second asks for a load
-    there while its VM stands still. Cause: the engine counted as heard until
-    the promised words were missing; told of a wish, its process answers at
-    the pace of a user.
+    An idle gateway, which gets an update once a second, requests a load at an
+    engine whose VM is paused. The status was fresh until two such updates were
+    missing, although a sidecar answers a load request at the active interval.
     """
     roster = _roster(3)
     placement = _placement(roster)
@@ -306,10 +303,10 @@
 
 
 def test_an_announced_base_version_does_not_block_running_engines() -> None:
-    """Symptom: all requests without an adapter are refused for good.
+    """Guards against rejecting all requests without an adapter for good.
 
-    Sequence: new weights of the base model are named; engines in place go
-    on with theirs. Cause: the name was taken for a version to wait for.
+    New base weights are announced while running engines keep theirs, and
+    requests waited for the announced version.
     """
     roster = _roster(2)
     placement = _placement(roster)
@@ -321,10 +318,10 @@
 
 
 def test_an_adapter_is_loaded_again_where_it_was_held() -> None:
-    """Load pattern: many rare adapters, each asked for now and then.
+    """Many adapters get rare requests.
 
-    The engine that held it has it in memory; its rendezvous home would fetch
-    it from the weight store.
+    The engine that held an adapter has it in memory, while its rendezvous home
+    would fetch it from the weight store.
     """
     roster = _roster(6)
     placement = _placement(roster)
@@ -343,11 +340,10 @@
 
 
 def test_the_first_engine_to_restart_is_not_overloaded() -> None:
-    """Symptom: ten seconds after a power cut hardly anybody is served.
+    """Guards against serving hardly any request ten seconds after a power cut.
 
-    Sequence: all engines restart; one has its base model before the others,
-    and every adapter is loaded there. Cause: it was the only one able to
-    load, however many requests it had already.
+    All engines restart, and every adapter was loaded at the first one with a
+    base model, whatever its number of requests.
     """
     roster = _roster(4, slots=64)
     placement = _placement(roster)
@@ -362,7 +358,7 @@
 
 
 def test_an_overloaded_holder_takes_no_more() -> None:
-    """Another engine loads the adapter meanwhile; its callers wait for that."""
+    """Its requests wait until another engine has loaded the adapter."""
     roster = _roster(4, slots=64)
     placement = _placement(roster, i0={ADAPTER: 1})
     placement.views["10.0.0.0:80"].running = 70
@@ -373,11 +369,10 @@
 
 
 def test_ended_requests_do_not_count_as_load() -> None:
-    """Symptom: an idle engine is said to be overloaded.
+    """Guards against treating an idle engine as overloaded.
 
-    Sequence: hundreds of short requests are sent and answered between two
-    words of its sidecar. Cause: each send since the word was counted as a
-    request that still runs.
+    Hundreds of short requests are answered between two updates of its sidecar,
+    and each send since the update counted as a running request.
     """
     roster = _roster(1, slots=8)
     placement = _placement(roster, i0={ADAPTER: 1})
--- a/tests/stack/test_fair_queue.py
+++ b/tests/stack/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""One customer's flood lengthens its own queue and nobody else's."""
+"""Tests that one customer's flood lengthens only its own queue."""
 
 from radishstack.process import fair_queue
 
@@ -37,7 +37,7 @@
 
 
 def test_turns_are_proportional_to_shares() -> None:
-    """A share of three gets three turns for one."""
+    """A share of three gets three turns for each turn of a share of one."""
     queue = fair_queue.FairQueue()
     for number in range(40):
         queue.push(_waiting(number, "small"))
@@ -46,7 +46,7 @@
 
 
 def test_urgent_goes_first_and_background_does_not_starve() -> None:
-    """Classes come first; waiting lifts a class step by step."""
+    """Priority classes come first, and waiting attempts move up in class."""
     queue = fair_queue.FairQueue()
     queue.push(_waiting(1, "a", rank=2))
     queue.push(_waiting(2, "a", rank=0))
@@ -57,7 +57,7 @@
 
 
 def test_a_customer_gains_no_turns_from_idle_time() -> None:
-    """Idle time earns no turns: the others are not starved in return."""
+    """Otherwise a customer that was idle would starve the others."""
     queue = fair_queue.FairQueue()
     for number in range(50):
         queue.push(_waiting(number, "busy"))
