--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -246,7 +246,7 @@
             if rejection is not None:
                 return rejection
             now_ms = clock.boot_ms()
-            member = gateway.placement.plain(
+            member = gateway.placement.choose_plain(
                 self._usable_targets(now_ms), now_ms
             )
             if member is None or not self._reserve_rate(member):
@@ -454,7 +454,7 @@
         sent_at_ms = member.health.unanswered.pop(self, None)
         if sent_at_ms is None:
             return
-        if clock.boot_ms() - sent_at_ms > placement_lib.ENGINE_PATIENCE_MS:
+        if clock.boot_ms() - sent_at_ms > placement_lib.ENGINE_FIRST_BYTE_MS:
             self.gateway.evidence.record_silence(member)
 
     def _write_request(
--- a/packages/radishstack/src/radishstack/load.py
+++ b/packages/radishstack/src/radishstack/load.py
@@ -8,7 +8,7 @@
     """The state of a target, as its process reports it.
 
     Attributes:
-        residency: ``residency.Standing`` of the requested adapter.
+        residency: ``residency.AdapterState`` of the requested adapter.
         leaving: Whether it accepts no new work.
         version: Configuration version in force at the target.
         queued: Queued attempts.
--- a/packages/radishstack/src/radishstack/process/adapter_keeper.py
+++ b/packages/radishstack/src/radishstack/process/adapter_keeper.py
@@ -1,9 +1,9 @@
-"""Which adapters one engine holds: the orders of the process beside it.
+"""Decides which adapters the sidecar's engine loads and unloads.
 
-Only this process gives its engine orders. What the engine holds is read anew
-before every order, since an order can be accepted without an answer, or be
-carried out seconds late; each order names the count of orders that the engine
-has accepted, so of two that were decided on the same report one is refused.
+Only the sidecar gives its engine orders. It reads the engine's report before
+every order, since an order can be accepted without an answer or be carried out
+seconds late. Each order states how many orders the engine has accepted, so the
+engine rejects one of two orders that were decided on the same report.
 """
 
 from collections.abc import Mapping
@@ -16,62 +16,64 @@
 from radishstack import result
 from radishstack.process import popularity
 
-# A gateway's word on its use of this engine is believed this long. It is
-# renewed several times a second; after this the gateway is gone, and the
-# engine itself still protects runs from an unload.
-DEMAND_MS = 2_000
-# Each word of a gateway says all that it wants, several times a second. A
-# gateway that was not heard for longer waits no more, or is cut off.
-WANT_MS = 1_000
-# No eviction right after a use: a gateway may be sending the next request,
-# and learns of an eviction some milliseconds after it.
-IDLE_MS = 25
-# After a load order that the engine refused, others go first.
-REFUSED_MS = 500
-# Adapters that the engine held lately and most likely still has in its memory,
-# for each place: engines keep six times as many as they have places.
-WARM_PER_PLACE = 5
-# Adapters held last that a word names beside those that are held: more than
-# an engine replaces between two words to those that are told seldom.
+# How long a gateway's uses of adapters count. Gateways renew them several times
+# a second, so a gateway is lost after this time. The engine itself still
+# protects runs from an unload.
+USE_TTL_MS = 2_000
+# How long a gateway's load requests count. Each message contains all of them,
+# several times a second, so a gateway without messages for this time has no
+# waiting requests or is cut off.
+LOAD_REQUEST_TTL_MS = 1_000
+# Time since the last use before an adapter may be evicted. A gateway may be
+# sending the next request and learns of an eviction some milliseconds later.
+EVICTION_IDLE_MS = 25
+# Backoff after the engine has rejected a load, so that other loads go first.
+REJECTED_LOAD_BACKOFF_MS = 500
+# Recently held adapters per adapter slot that most likely are still in the
+# engine's memory. Engines keep six times as many as they have slots.
+WARM_PER_SLOT = 5
+# Recently held adapters that a status update names: more than an engine
+# replaces between two updates to an idle gateway.
 MAX_RECENT = 8
-# What one more request that waits for an adapter is worth, in time waited: the
-# load of an adapter that several wait for serves them all.
-WAITER_MS = 100
-# A load request without an objective, or with a long one, is ordered as if it
-# were due so long after it was made.
-IN_TURN_MS = 1_000
-# While loads wait, the time between two of them is learned with this weight
-# of the newest: it is four in one fetch at best, and several times as long once
-# every place is in use or the weight store is shared by many.
+# Waiting time that each waiting request adds to an adapter's priority, since
+# one load serves all requests that wait for the adapter.
+WAITER_CREDIT_MS = 100
+# Latest due time for ordering, counted from a load's first request. It applies
+# to loads without a due time and to those with a later one.
+MAX_DUE_MS = 1_000
+# Weight of the newest interval between two loads in its moving average. An
+# engine does four loads in one fetch time at best; the interval is several
+# times as long once all slots are in use or many engines share the weight
+# store.
 GAP_WEIGHT = 0.25
 FIRST_GAP_MS = 60.0
-# Adapters that may be in transit to one engine: what engines take at most.
+# Adapters in transit to one engine: the most that engines accept.
 MAX_IN_TRANSIT = 4
-# Weight of the newest fetch in the estimate of how long one takes.
+# Weight of the newest fetch in the moving average of the fetch time.
 FETCH_WEIGHT = 0.3
-# Part of that time after which its end is looked for.
-DUE_PART = 0.8
-# The same from its own memory.
+# Fraction of the expected fetch time after which the engine is polled for it.
+FIRST_POLL_FRACTION = 0.8
+# Time that an engine takes to load an adapter from its own memory.
 WARM_LOAD_MS = 25
-# How often the engine is asked for its report: where a change is due, and at
-# the least. A place that is waited for comes free when a gateway's word says
-# that a run has ended, so the engine need not be asked for that.
-LOOK_MS = 15
-IDLE_LOOK_MS = 100
-# Part of the time that a load is overdue after which it is looked for again:
-# while the weight store is slow, looks at a steady pace would be the same
-# report over and over.
-OVERDUE_PART = 0.25
-# Half-life of an adapter's count of requests: popularity moves in seconds.
+# Intervals at which the engine's report is read: when a change is due, and
+# otherwise. A load that waits for a slot needs no polls, since a gateway's
+# message reports the end of the run that frees it.
+POLL_MS = 15
+IDLE_POLL_MS = 100
+# Poll interval for an overdue load, as a fraction of the time that it is
+# overdue. At a constant interval, polls would return the same report over and
+# over while the weight store is slow.
+OVERDUE_POLL_FRACTION = 0.25
+# Half-life of an adapter's request count. Popularity changes within seconds.
 HALF_LIFE_MS = 10_000
 
 
-# A load request that is due at no time.
-NOT_DUE_MS = 2**31 - 1
+# Due time of a load request that is never due.
+NEVER_DUE_MS = 2**31 - 1
 
 
 class Operation(enum.StrEnum):
-    """What an order asks for."""
+    """What an order has the engine do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -79,14 +81,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order.
+    """An order to the engine.
 
     Attributes:
         operation: Load or unload.
         adapter: The adapter, ``model/name``, or a base model.
         version: Version to load, 0 for the newest.
         accepted_count: Orders that the engine had accepted when this one was
-            decided; the engine refuses it if others came between.
+            decided. The engine rejects the order if it has accepted others
+            since.
     """
 
     operation: Operation
@@ -97,17 +100,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What the engine says of itself.
+    """The engine's report of its own state.
 
     Attributes:
-        accepted_count: Orders that it accepted since its start.
+        accepted_count: Orders that it has accepted in this incarnation.
         residents: Versions of adapters and base models that it holds.
-        in_transit: Versions of adapters on their way to it.
+        in_transit: Versions of adapters that are being fetched or loaded.
         busy: Whether it carries out an order that excludes others.
         running: Requests that run.
         queued: Requests that wait.
-        born_ms: Birth of its start, 0 where it told none.
-        leaving: Whether it says that it leaves.
+        born_ms: Start time of its incarnation, 0 if it reports none.
+        leaving: Whether it is draining.
     """
 
     accepted_count: int
@@ -126,8 +129,8 @@
 
     Attributes:
         adapter: The adapter.
-        in_flight: Requests it has there now.
-        sent: Requests it sent since its last word.
+        in_flight: Requests that it has at the engine now.
+        sent: Requests that it has sent since its last message.
     """
 
     adapter: str
@@ -136,38 +139,37 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Want:
-    """An adapter that a gateway has requests for.
+class LoadRequest:
+    """An adapter that a gateway needs at the engine.
 
     Attributes:
         adapter: The adapter.
-        version: Its lowest version.
-        waiting: Requests that wait for it there, 0 if it is only a further
-            copy.
-        first_due_ms: In how long the first of them must have it, to be
-            answered within its objective; negative where that has passed.
-        last_due_ms: The same of the last one.
+        version: The lowest version that serves.
+        waiting: Requests that wait for it, 0 if it is only a further copy.
+        first_due_ms: Time within which the first waiting request needs it to be
+            answered within its latency objective; negative if that is past.
+        last_due_ms: The same for the last waiting request.
     """
 
     adapter: str
     version: int
     waiting: int = 0
-    first_due_ms: int = NOT_DUE_MS
-    last_due_ms: int = NOT_DUE_MS
+    first_due_ms: int = NEVER_DUE_MS
+    last_due_ms: int = NEVER_DUE_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """A gateway's word to the process beside an engine.
+    """A gateway's message to a sidecar: what it uses and needs at the engine.
 
     Attributes:
         gateway: Name of the gateway.
-        instance: Start of the engine that it knows.
-        adapter_limit: Adapters that the engine can hold.
+        instance: Name of the engine's incarnation that the gateway knows.
+        adapter_limit: Number of adapter slots of the engine.
         base_models: Base models of the engine's service.
-        uses: Its use of adapters there.
-        wants: All adapters that it waits for now.
-        announced: Announced versions that it knows.
+        uses: Adapters that the gateway uses at the engine.
+        wants: All load requests of the gateway.
+        announced: Announced versions that the gateway knows.
     """
 
     gateway: str
@@ -175,12 +177,12 @@
     adapter_limit: int
     base_models: tuple[str, ...]
     uses: tuple[Use, ...]
-    wants: tuple[Want, ...]
+    wants: tuple[LoadRequest, ...]
     announced: Mapping[str, int]
 
 
 def base_of(adapter: str) -> str:
-    """Returns the base model of an adapter; a base model is its own."""
+    """Returns the base model of an adapter, or a base model itself."""
     return adapter.partition("/")[0]
 
 
@@ -190,7 +192,9 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Wanted:
+class _RequestedLoad:
+    """The load requests of all gateways for one adapter."""
+
     version: int
     since_ms: int
     waiting: int = 0
@@ -198,13 +202,13 @@
     last_due_at_ms: int = 0
 
     def is_late(self, now_ms: int, load_ms: float) -> bool:
-        """Whether all that wait for it will be answered late in any case."""
+        """Whether the load comes too late for all requests that wait for it."""
         return self.last_due_at_ms < now_ms + load_ms
 
     def urgency_ms(self) -> float:
-        """Returns the time by which load requests are ordered."""
-        at_ms = min(self.first_due_at_ms, self.since_ms + IN_TURN_MS)
-        return at_ms - WAITER_MS * self.waiting
+        """Returns the time by which loads are ordered, the earliest first."""
+        at_ms = min(self.first_due_at_ms, self.since_ms + MAX_DUE_MS)
+        return at_ms - WAITER_CREDIT_MS * self.waiting
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -212,12 +216,11 @@
     """How long loads take at an engine now.
 
     Attributes:
-        wait_ms: Until a load that is wished now would be done, were it the
-            last one.
-        gap_ms: Between two loads; what one more in the queue adds.
-        in_time_ms: Until it would be done ahead of those that come too late
-            in any case.
-        fetch_ms: How long it takes without a wait.
+        wait_ms: Time until a load requested now is done, behind all others.
+        gap_ms: Time between two loads, which each queued load adds.
+        in_time_ms: Time until it is done ahead of loads that are late for all
+            their callers.
+        fetch_ms: Time that a load takes without a queue.
     """
 
     wait_ms: int
@@ -227,67 +230,67 @@
 
 
 class Keeper:
-    """Decides the orders of one engine."""
+    """Decides the load and unload orders for one engine."""
 
     def __init__(self) -> None:
-        """Starts without a report and without demand."""
+        """Creates a keeper without a report or demand."""
         self.report: Report | None = None
         self.adapter_limit = 0
         self.base_models: tuple[str, ...] = ()
         self.announced: dict[str, int] = {}
-        self._wants: dict[str, tuple[int, tuple[Want, ...]]] = {}
-        self._wanted_since_ms: dict[str, int] = {}
+        self._requests: dict[str, tuple[int, tuple[LoadRequest, ...]]] = {}
+        self._requested_since_ms: dict[str, int] = {}
         self._gap_ms = FIRST_GAP_MS
-        self._turn_at_ms = 0
-        self._late_turn_at_ms = 0
+        self._last_load_at_ms = 0
+        self._last_late_load_at_ms = 0
         self.last_use_ms: dict[str, int] = {}
         self._warm: dict[str, None] = {}
         self.popularity = popularity.Popularity(HALF_LIFE_MS)
         self._in_flight: dict[str, tuple[int, dict[str, int]]] = {}
-        self._refused_until_ms: dict[str, int] = {}
-        self._due_ms: dict[str, int] = {}
+        self._rejected_until_ms: dict[str, int] = {}
+        self._expected_at_ms: dict[str, int] = {}
         self._fetched_since_ms: dict[str, int] = {}
-        # 0 until a fetch was seen: callers are not turned away for a wait of
-        # which nothing is known.
+        # 0 until a fetch is observed, so that no request is rejected because
+        # of an unknown load time.
         self._fetch_ms = 0.0
         self._hold_until_ms = 0
         self._born_ms = 0
-        # Whether a load waits for a run to end, as of the last decision.
-        self._lacks_place = False
+        # Whether a load waited for a free slot at the last decision.
+        self._waits_for_slot = False
 
     def restarted(self) -> None:
-        """Resets what is known after the engine was restarted."""
+        """Discards the state of the engine's former incarnation."""
         self.report = None
-        self._refused_until_ms.clear()
-        self._due_ms.clear()
+        self._rejected_until_ms.clear()
+        self._expected_at_ms.clear()
         self._fetched_since_ms.clear()
         self._warm.clear()
 
     def hold(self, until_ms: int) -> None:
-        """Gives no orders for a while, as after standing still."""
+        """Gives no orders until a time, as after a process pause."""
         self.report = None
         self._hold_until_ms = until_ms
         # Discards measurements that span the pause. They would inflate the
         # load time estimates, gateways would reject requests that need a load
         # here, and without further loads the estimates would stay too high.
         self._fetched_since_ms.clear()
-        self._turn_at_ms = max(self._turn_at_ms, until_ms)
-        self._late_turn_at_ms = max(self._late_turn_at_ms, until_ms)
+        self._last_load_at_ms = max(self._last_load_at_ms, until_ms)
+        self._last_late_load_at_ms = max(self._last_late_load_at_ms, until_ms)
 
-    def hear(self, demand: Demand, now_ms: int) -> bool:
+    def handle_update(self, demand: Demand, now_ms: int) -> bool:
         """Applies a gateway's demand.
 
         Returns:
-            Whether an order may follow from it: something is wanted that was
-            not, or a run has ended while load requests wait for its place.
+            Whether it may lead to an order: it has a new load request, or a run
+            has ended while loads wait for a slot.
         """
         before = self.pending(now_ms) if demand.wants else frozenset()
-        freed = self._take(demand, now_ms)
+        freed = self._apply_demand(demand, now_ms)
         if demand.wants and self.pending(now_ms) - before:
             return True
-        return freed and self._lacks_place
+        return freed and self._waits_for_slot
 
-    def _take(self, demand: Demand, now_ms: int) -> bool:
+    def _apply_demand(self, demand: Demand, now_ms: int) -> bool:
         """Applies a demand; returns whether an adapter is no longer used."""
         if demand.adapter_limit:
             self.adapter_limit = demand.adapter_limit
@@ -304,206 +307,204 @@
                 self.popularity.touch(use.adapter, now_ms)
         _, used = self._in_flight.get(demand.gateway, (now_ms, {}))
         self._in_flight[demand.gateway] = (now_ms, in_flight)
-        # What it does not want any more has nobody waiting there: a load for
-        # callers that have left would keep a place from those that wait.
-        self._wants[demand.gateway] = (now_ms, demand.wants)
-        for want in demand.wants:
-            self._wanted_since_ms.setdefault(want.adapter, now_ms)
+        # Replaces the gateway's earlier load requests. A load that no caller
+        # waits for any more would take a slot from those that are needed.
+        self._requests[demand.gateway] = (now_ms, demand.wants)
+        for request in demand.wants:
+            self._requested_since_ms.setdefault(request.adapter, now_ms)
         return bool(used.keys() - in_flight.keys())
 
     def observe(self, report: Report) -> int:
         """Applies the engine's own report.
 
         Returns:
-            The birth of the start before, if another one reports now; 0
-            otherwise.
+            The start time of the former incarnation if the report is the first
+            of a new one, else 0.
         """
         former_born_ms = 0
         if report.born_ms and report.born_ms != self._born_ms:
             former_born_ms, self._born_ms = self._born_ms, report.born_ms
         if former_born_ms:
-            # What the former start held is neither in the memory of this one
-            # nor in use; orders to it are settled by its end.
+            # The new incarnation has none of the former one's adapters in its
+            # memory or in use, and orders to the former one are void.
             self.restarted()
             self._in_flight.clear()
         self.report = report
-        for adapter in self._due_ms.keys() & report.residents.keys():
-            del self._due_ms[adapter]
+        for adapter in self._expected_at_ms.keys() & report.residents.keys():
+            del self._expected_at_ms[adapter]
         for adapter in report.residents:
-            # The one held last goes last, so that the oldest is dropped.
+            # Moves it to the end, so that the least recent is dropped first.
             self._warm.pop(adapter, None)
             self._warm[adapter] = None
-        limit = WARM_PER_PLACE * self.adapter_limit
+        limit = WARM_PER_SLOT * self.adapter_limit
         while limit and len(self._warm) > limit:
             del self._warm[next(iter(self._warm))]
         return former_born_ms
 
     def recently_held(self) -> tuple[str, ...]:
-        """Returns adapters that were held last and are not any more.
+        """Returns adapters that the engine no longer holds, most recent last.
 
-        Gateways that are told seldom would not see those that came and went
-        between two words, and fetch them again elsewhere. The one held last
-        is at the end.
+        Idle gateways would not see an adapter that was loaded and unloaded
+        between two updates, and would have it fetched again elsewhere.
         """
         held = self.report.residents if self.report is not None else {}
-        gone = (name for name in reversed(self._warm) if name not in held)
-        return tuple(itertools.islice(gone, MAX_RECENT))[::-1]
+        former = (name for name in reversed(self._warm) if name not in held)
+        return tuple(itertools.islice(former, MAX_RECENT))[::-1]
 
-    def next_look_ms(self, now_ms: int) -> int:
-        """Returns how long the engine's report will most likely stay as it is.
+    def next_poll_ms(self, now_ms: int) -> int:
+        """Returns the time until the engine's report should be read again.
 
-        Loads take their known time, so that an engine with nothing but loads
-        under way need not be asked for them all the while.
+        Load times are estimated, so an engine that only has loads in progress
+        is not polled before one is due.
         """
         report = self.report
         if report is None:
-            return LOOK_MS
+            return POLL_MS
         if not self.pending(now_ms):
-            return IDLE_LOOK_MS
-        look_ms = self._next_load_ms(report, now_ms)
+            return IDLE_POLL_MS
+        poll_ms = self._next_load_ms(report, now_ms)
         if any(
-            name not in report.in_transit for name in self._open_wants(now_ms)
+            name not in report.in_transit
+            for name in self._open_requests(now_ms)
         ):
-            look_ms = min(look_ms, self._next_place_ms(report, now_ms))
-        return min(max(look_ms, LOOK_MS), IDLE_LOOK_MS)
+            poll_ms = min(poll_ms, self._next_slot_ms(report, now_ms))
+        return min(max(poll_ms, POLL_MS), IDLE_POLL_MS)
 
     def _next_load_ms(self, report: Report, now_ms: int) -> int:
-        """Returns in how long a load is likely to have ended."""
-        look_ms = IDLE_LOOK_MS
+        """Returns the time until a load in transit should be polled for."""
+        poll_ms = IDLE_POLL_MS
         for name in report.in_transit:
-            left_ms = self._due_ms.get(name, now_ms) - now_ms
+            left_ms = self._expected_at_ms.get(name, now_ms) - now_ms
             if left_ms < 0:
-                left_ms = round(-left_ms * OVERDUE_PART)
-            look_ms = min(look_ms, left_ms)
-        return look_ms
-
-    def _next_place_ms(self, report: Report, now_ms: int) -> int:
-        """Returns in how long the next load can be ordered."""
-        if not self._lacks_place:
-            return LOOK_MS
+                left_ms = round(-left_ms * OVERDUE_POLL_FRACTION)
+            poll_ms = min(poll_ms, left_ms)
+        return poll_ms
+
+    def _next_slot_ms(self, report: Report, now_ms: int) -> int:
+        """Returns the time until the next load can be ordered."""
+        if not self._waits_for_slot:
+            return POLL_MS
         if len(report.in_transit) >= MAX_IN_TRANSIT:
-            return IDLE_LOOK_MS
+            return IDLE_POLL_MS
         idle_ms = [
-            self.last_use_ms.get(name, 0) + IDLE_MS - now_ms
+            self.last_use_ms.get(name, 0) + EVICTION_IDLE_MS - now_ms
             for name in report.residents
             if not is_base(name) and not self.in_flight(name, now_ms)
         ]
         return min(
             (left_ms for left_ms in idle_ms if left_ms > 0),
-            default=IDLE_LOOK_MS,
+            default=IDLE_POLL_MS,
         )
 
     def in_flight(self, adapter: str, now_ms: int) -> int:
-        """Returns how many requests gateways have on an adapter."""
+        """Returns how many requests of all gateways use an adapter."""
         return sum(
             own.get(adapter, 0)
-            for heard_at_ms, own in self._in_flight.values()
-            if now_ms - heard_at_ms <= DEMAND_MS
+            for received_at_ms, own in self._in_flight.values()
+            if now_ms - received_at_ms <= USE_TTL_MS
         )
 
     def pending(self, now_ms: int) -> frozenset[str]:
-        """Returns the adapters that are loaded or will be."""
+        """Returns the adapters that are in transit or requested and missing."""
         report = self.report
         in_transit = report.in_transit if report is not None else {}
-        return frozenset(in_transit) | frozenset(self._open_wants(now_ms))
-
-    def _wanted(self, now_ms: int) -> dict[str, _Wanted]:
-        """Returns what all gateways together want."""
-        self._wants = {
-            gateway: word
-            for gateway, word in self._wants.items()
-            if now_ms - word[0] <= WANT_MS
+        return frozenset(in_transit) | frozenset(self._open_requests(now_ms))
+
+    def _requested(self, now_ms: int) -> dict[str, _RequestedLoad]:
+        """Returns the merged load requests of all gateways, by adapter."""
+        self._requests = {
+            gateway: entry
+            for gateway, entry in self._requests.items()
+            if now_ms - entry[0] <= LOAD_REQUEST_TTL_MS
         }
-        together: dict[str, _Wanted] = {}
-        for heard_at_ms, wants in self._wants.values():
-            for want in wants:
-                since_ms = self._wanted_since_ms[want.adapter]
-                wanted = together.setdefault(
-                    want.adapter, _Wanted(want.version, since_ms)
+        merged: dict[str, _RequestedLoad] = {}
+        for received_at_ms, requests in self._requests.values():
+            for request in requests:
+                since_ms = self._requested_since_ms[request.adapter]
+                load = merged.setdefault(
+                    request.adapter, _RequestedLoad(request.version, since_ms)
                 )
-                wanted.version = max(wanted.version, want.version)
-                wanted.waiting += want.waiting
-                wanted.first_due_at_ms = min(
-                    wanted.first_due_at_ms, heard_at_ms + want.first_due_ms
+                load.version = max(load.version, request.version)
+                load.waiting += request.waiting
+                load.first_due_at_ms = min(
+                    load.first_due_at_ms, received_at_ms + request.first_due_ms
                 )
-                wanted.last_due_at_ms = max(
-                    wanted.last_due_at_ms, heard_at_ms + want.last_due_ms
+                load.last_due_at_ms = max(
+                    load.last_due_at_ms, received_at_ms + request.last_due_ms
                 )
-        for name in self._wanted_since_ms.keys() - together.keys():
-            del self._wanted_since_ms[name]
-        return together
+        for name in self._requested_since_ms.keys() - merged.keys():
+            del self._requested_since_ms[name]
+        return merged
 
-    def _open_wants(self, now_ms: int) -> list[str]:
-        """Returns the adapters that are wanted and missing, in order."""
+    def _open_requests(self, now_ms: int) -> list[str]:
+        """Returns the adapters that are requested and missing, in order."""
         return [name for name, _ in self._queue(now_ms)]
 
-    def _queue(self, now_ms: int) -> list[tuple[str, _Wanted]]:
+    def _queue(self, now_ms: int) -> list[tuple[str, _RequestedLoad]]:
         report = self.report
         if report is None:
             return []
-        load_ms = self._fetch_ms
-        wants = [
-            (name, wanted)
-            for name, wanted in self._wanted(now_ms).items()
-            if report.residents.get(name, -1) < wanted.version
+        fetch_ms = self._fetch_ms
+        queue = [
+            (name, load)
+            for name, load in self._requested(now_ms).items()
+            if report.residents.get(name, -1) < load.version
             or name not in report.residents
         ]
-        # What the engine still has in its memory is there in a tenth of the
-        # time: served first, it makes the others wait next to nothing. A load
-        # that comes too late for all its callers yields to those that are in
-        # time: in a rush, first come first served has everyone late.
-        wants.sort(
-            key=lambda one: (
-                one[0] not in self._warm,
-                one[1].is_late(now_ms, load_ms),
-                one[1].urgency_ms(),
+        # Adapters in the engine's memory go first: they load in a tenth of the
+        # time and hardly delay the others. Loads that are late for all their
+        # callers go last: in a rush, first come first served would make nearly
+        # every load late.
+        queue.sort(
+            key=lambda entry: (
+                entry[0] not in self._warm,
+                entry[1].is_late(now_ms, fetch_ms),
+                entry[1].urgency_ms(),
             )
         )
-        return wants
+        return queue
 
     def load_wait(self, now_ms: int) -> LoadWait:
-        """Predicts how long a load that is wished now would take.
+        """Predicts how long a load that is requested now takes.
 
-        Where every place is in use, loads go on only as runs end; a bound on
-        their number alone would let callers wait past their objective.
+        If all slots are in use, loads progress only as runs end. A limit on the
+        number of queued loads alone would let callers wait past their
+        objective.
         """
         report = self.report
-        load_ms = self._fetch_ms
-        idle_ms = round(load_ms)
+        fetch_ms = self._fetch_ms
+        unqueued_ms = round(fetch_ms)
         if report is None:
-            return LoadWait(idle_ms, FIRST_GAP_MS, idle_ms, idle_ms)
+            return LoadWait(unqueued_ms, FIRST_GAP_MS, unqueued_ms, unqueued_ms)
         queue = [
-            (name, wanted)
-            for name, wanted in self._queue(now_ms)
+            (name, load)
+            for name, load in self._queue(now_ms)
             if name not in report.in_transit
         ]
         if not queue:
-            return LoadWait(idle_ms, self._gap_ms, idle_ms, idle_ms)
-        # A gap that is not over yet may already be longer than those before.
-        first_ms = min(wanted.since_ms for _, wanted in queue)
-        gap_ms = max(self._gap_ms, self._standing_ms(first_ms, now_ms) / 2)
+            return LoadWait(unqueued_ms, self._gap_ms, unqueued_ms, unqueued_ms)
+        # The current interval may already exceed the moving average.
+        first_ms = min(load.since_ms for _, load in queue)
+        gap_ms = max(self._gap_ms, self._stalled_ms(first_ms, now_ms) / 2)
         late = [
-            wanted.since_ms
-            for _, wanted in queue
-            if wanted.is_late(now_ms, load_ms)
+            load.since_ms for _, load in queue if load.is_late(now_ms, fetch_ms)
         ]
-        in_time_ms = load_ms + (len(queue) - len(late)) * gap_ms
-        wait_ms = load_ms + len(queue) * gap_ms
+        in_time_ms = fetch_ms + (len(queue) - len(late)) * gap_ms
+        wait_ms = fetch_ms + len(queue) * gap_ms
         if late:
-            # Those that come too late yield to the others: in an overload
-            # that lasts they have no turn, and further ones would wait in
-            # vain.
-            passed_over_ms = now_ms - max(self._late_turn_at_ms, min(late))
+            # Late loads yield to the others, so in a lasting overload none of
+            # them is ordered and further ones would wait for nothing.
+            passed_over_ms = now_ms - max(self._last_late_load_at_ms, min(late))
             late_gap_ms = max(gap_ms, passed_over_ms / 2)
             wait_ms = in_time_ms + len(late) * late_gap_ms
-        return LoadWait(round(wait_ms), gap_ms, round(in_time_ms), idle_ms)
+        return LoadWait(round(wait_ms), gap_ms, round(in_time_ms), unqueued_ms)
 
-    def _standing_ms(self, first_ms: int, now_ms: int) -> int:
-        """Returns how long no load went on though one was wanted."""
+    def _stalled_ms(self, first_ms: int, now_ms: int) -> int:
+        """Returns for how long no load was ordered though one was requested."""
         if self._missing_base(self.report) is not None:
-            # Loads go on at the usual rate once the base model is there.
-            self._turn_at_ms = now_ms
-        return now_ms - max(self._turn_at_ms, first_ms)
+            # Loads progress at the usual rate once the base model is loaded.
+            self._last_load_at_ms = now_ms
+        return now_ms - max(self._last_load_at_ms, first_ms)
 
     def decide(self, now_ms: int) -> Order | None:
         """Decides the next order.
@@ -511,29 +512,30 @@
         Returns:
             The order, or None if none helps now.
         """
-        self._note_fetched(now_ms)
-        self._lacks_place = False
+        self._update_fetch_estimate(now_ms)
+        self._waits_for_slot = False
         order = self._decide(now_ms)
         if order is None or order.operation is Operation.UNLOAD:
             return order
-        # Only the time in which it could have been loaded says how fast loads
-        # go on; before it was wanted there was nothing to do.
-        since_ms = self._wanted_since_ms.get(order.adapter, now_ms)
-        gap_ms = now_ms - max(self._turn_at_ms, since_ms)
+        # Measures the interval only from the load's first request: before that,
+        # there was nothing to load.
+        since_ms = self._requested_since_ms.get(order.adapter, now_ms)
+        gap_ms = now_ms - max(self._last_load_at_ms, since_ms)
         if not is_base(order.adapter):
             self._gap_ms += GAP_WEIGHT * (gap_ms - self._gap_ms)
-        self._turn_at_ms = now_ms
-        wanted = self._wanted(now_ms).get(order.adapter)
-        if wanted is None or wanted.is_late(now_ms, self._fetch_ms):
-            self._late_turn_at_ms = now_ms
+        self._last_load_at_ms = now_ms
+        load = self._requested(now_ms).get(order.adapter)
+        if load is None or load.is_late(now_ms, self._fetch_ms):
+            self._last_late_load_at_ms = now_ms
         return order
 
-    def _note_fetched(self, now_ms: int) -> None:
-        """Learns from fetches that have ended how long they take."""
+    def _update_fetch_estimate(self, now_ms: int) -> None:
+        """Updates the estimated fetch time from fetches that have ended."""
         report = self.report
         if report is None:
             return
-        # In the order of the orders: that of a set differs between processes.
+        # Keeps the order of the load orders; the iteration order of a set
+        # differs between processes.
         ended = [
             adapter
             for adapter in self._fetched_since_ms
@@ -553,21 +555,21 @@
         base = self._missing_base(report)
         if base is not None:
             return self._order(Operation.LOAD, base, 0, now_ms)
-        for adapter in self._open_wants(now_ms):
+        for adapter in self._open_requests(now_ms):
             if adapter in report.in_transit:
                 continue
             if base_of(adapter) not in report.residents or is_base(adapter):
                 continue
-            if self._refused_until_ms.get(adapter, 0) > now_ms:
+            if self._rejected_until_ms.get(adapter, 0) > now_ms:
                 continue
-            return self._make_room_or_load(report, adapter, now_ms)
-        return self._retire(report, now_ms)
+            return self._evict_or_load(report, adapter, now_ms)
+        return self._unload_outdated(report, now_ms)
 
     def _missing_base(self, report: Report) -> str | None:
         """Returns the base model that an empty engine is to load."""
         if any(is_base(name) for name in report.residents):
             return None
-        for adapter in self._wanted_since_ms:
+        for adapter in self._requested_since_ms:
             if base_of(adapter) in self.base_models:
                 return base_of(adapter)
         return self.base_models[0] if self.base_models else None
@@ -576,22 +578,22 @@
         held = sum(not is_base(name) for name in report.residents)
         return held + len(report.in_transit)
 
-    def _make_room_or_load(
+    def _evict_or_load(
         self, report: Report, adapter: str, now_ms: int
     ) -> Order | None:
         if len(report.in_transit) >= MAX_IN_TRANSIT:
-            self._lacks_place = True
+            self._waits_for_slot = True
             return None
         if self._occupied(report) < self.adapter_limit:
             version = self.announced.get(adapter, 0)
             return self._order(Operation.LOAD, adapter, version, now_ms)
         victim = self._victim(report, now_ms)
         if victim is None:
-            self._lacks_place = True
+            self._waits_for_slot = True
             return None
         return self._order(Operation.UNLOAD, victim, 0, now_ms)
 
-    def _retire(self, report: Report, now_ms: int) -> Order | None:
+    def _unload_outdated(self, report: Report, now_ms: int) -> Order | None:
         """Unloads an idle adapter whose version is out of date."""
         for adapter, version in report.residents.items():
             if is_base(adapter) or version >= self.announced.get(adapter, 0):
@@ -603,25 +605,34 @@
     def _idle(self, adapter: str, now_ms: int) -> bool:
         if self.in_flight(adapter, now_ms):
             return False
-        return now_ms - self.last_use_ms.get(adapter, -IDLE_MS) >= IDLE_MS
+        return (
+            now_ms - self.last_use_ms.get(adapter, -EVICTION_IDLE_MS)
+            >= EVICTION_IDLE_MS
+        )
 
     def _needed(
-        self, report: Report, adapter: str, wants: Mapping[str, _Wanted]
+        self,
+        report: Report,
+        adapter: str,
+        requested: Mapping[str, _RequestedLoad],
     ) -> bool:
         """Whether requests wait for the version that the engine holds."""
-        wanted = wants.get(adapter)
-        return wanted is not None and (
-            report.residents.get(adapter, -1) >= wanted.version
+        load = requested.get(adapter)
+        return load is not None and (
+            report.residents.get(adapter, -1) >= load.version
         )
 
     def _victim(self, report: Report, now_ms: int) -> str | None:
-        """Returns the idle adapter that is least likely to be asked for."""
-        wants = self._wanted(now_ms)
+        """Returns the idle adapter to evict, None if there is none.
+
+        Outdated versions go first, then the least popular adapter.
+        """
+        requested = self._requested(now_ms)
         idle = [
             name
             for name in report.residents
             if not is_base(name)
-            and not self._needed(report, name, wants)
+            and not self._needed(report, name, requested)
             and self._idle(name, now_ms)
         ]
         if not idle:
@@ -641,7 +652,7 @@
     ) -> Order:
         report = self.report
         if operation is Operation.LOAD and not is_base(adapter):
-            # One adapter too many makes the engine crash with all its runs.
+            # One adapter too many crashes the engine with all its runs.
             invariant.require(
                 self._occupied(report) < self.adapter_limit,
                 result.SLOTS_OVERFILLED,
@@ -656,24 +667,28 @@
         return Order(operation, adapter, version, report.accepted_count)
 
     def settled(self, order: Order, now_ms: int, *, refused: bool) -> None:
-        """Records the end of an order; the next one needs a new report.
+        """Records the result of an order; the next one needs a new report.
 
         Args:
             order: The order.
             now_ms: Now.
-            refused: Whether the engine refused it for what it asks. Without
-                an answer it counts as not refused: the same order may be
-                given again, since the engine takes only one of the two.
+            refused: Whether the engine rejected the order for its content. An
+                order without an answer counts as not rejected: it may be given
+                again, since the engine accepts only one of the two.
         """
         report, self.report = self.report, None
         if order.operation is Operation.LOAD:
             warm = order.adapter in self._warm
-            # Looked for a little before it is due: looked for later, it would
-            # seem to have taken that long.
-            took_ms = WARM_LOAD_MS if warm else DUE_PART * self._fetch_ms
-            self._due_ms[order.adapter] = now_ms + round(took_ms)
+            # Polls start a little before the fetch is due. A later poll would
+            # overestimate the fetch time.
+            took_ms = (
+                WARM_LOAD_MS if warm else FIRST_POLL_FRACTION * self._fetch_ms
+            )
+            self._expected_at_ms[order.adapter] = now_ms + round(took_ms)
             replaced = report is not None and order.adapter in report.residents
             if not warm and not replaced and not is_base(order.adapter):
                 self._fetched_since_ms[order.adapter] = now_ms
         if refused:
-            self._refused_until_ms[order.adapter] = now_ms + REFUSED_MS
+            self._rejected_until_ms[order.adapter] = (
+                now_ms + REJECTED_LOAD_BACKOFF_MS
+            )
--- a/packages/radishstack/src/radishstack/process/placement.py
+++ b/packages/radishstack/src/radishstack/process/placement.py
@@ -1,10 +1,10 @@
-"""Where a forwarded request goes, and where a missing adapter is loaded.
+"""Chooses the target of a request and the engine that loads a missing adapter.
 
-A target that holds the adapter takes the request, the least loaded first.
-Where none does, every gateway computes the same home for the load from the
-rendezvous order, without a message, and passes over targets that are full.
-One copy of an adapter also keeps its prompt cache in one place; a second copy
-is made once the first one's target is busy.
+A request goes to the least loaded target that holds its adapter. If no target
+holds it, every gateway computes the same home engine for the load from the
+rendezvous order, without exchanging messages, and skips engines that are full.
+A single copy of an adapter also keeps its prompt cache in one place; another
+copy is loaded only when the target that holds the first one is busy.
 """
 
 from collections.abc import Mapping
@@ -16,126 +16,130 @@
 from radishstack.process import rendezvous
 from radishstack.process import roster as roster_lib
 
-# The step by which one more running request delays the others, as configured
-# engines publish it; it only ranks targets.
+# Delay that each further running request adds to the others. Engines publish
+# this step in their configuration; here it only ranks targets.
 REQUEST_COST_MS = 6.0
 QUEUED_COST_MS = 40.0
-# A copy elsewhere is worth its load, and the place that it takes from another
-# adapter, once some fifty requests run at the holders; earlier copies push out
-# what others need.
-SPREAD_ABOVE_MS = 320.0
-# An engine this late takes no more: sixty run, or fewer and some wait. It
-# reads prompts one after the other, so what is added starts later than its
-# caller has use for, and delays all others.
+# Loading another copy pays for the load and for the adapter that it evicts once
+# about fifty requests run at a holder. Earlier copies evict adapters that other
+# requests need.
+REPLICATION_THRESHOLD_MS = 320.0
+# Queueing delay above which an engine gets no more requests: sixty requests
+# run, or fewer run and some are queued. An engine processes prompts one after
+# the other, so another request would start too late for its caller and delay
+# all others.
 OVERLOADED_MS = 360.0
-# When to come back to engines that are overloaded or still starting.
+# Retry delay for requests rejected because engines are overloaded or starting.
 OVERLOADED_RETRY_MS = 500
-# Share of failures above which an engine's adapters are loaded elsewhere: two
-# of the last three sends, or half of the last ten.
-STRAINED_SHARE = 0.4
-# A failed send costs the caller a new attempt, about one objective.
+# Share of failed sends above which an engine's adapters are loaded elsewhere:
+# two of the last three sends, or half of the last ten.
+DEGRADED_FAILURE_SHARE = 0.4
+# A failed send costs its caller another attempt, which takes about as long as a
+# service's latency objective.
 FAILURE_COST_MS = 800.0
-FAR_COST_MS = 3.0
-# A target process tells its state several times in this time. One that was
-# not heard for longer is gone or its whole VM is paused; it gets no load
-# requests, and its engine no requests that another could take. Where it is
-# told seldom it counts as silent once two words that it promised are missing.
-SILENT_MS = 700
-SILENT_WORDS = 2
-SILENT_MARGIN_MS = 40
-# An engine, or a plain target, that has left a request without a first byte
-# for this long is not like the others: nine in ten answer sooner. What it is
-# silent above this counts against it.
-ENGINE_PATIENCE_MS = 800
-PLAIN_PATIENCE_MS = 250
-SILENCE_WEIGHT = 2.0
-# Wait at a home, in fetches, above which a load is left to the next engine in
-# the order: a longer wait keeps adapters to fewer engines, a shorter one
-# spreads a rush.
+CROSS_DOMAIN_COST_MS = 3.0
+# Age at which a status update is stale. A sidecar sends several updates in this
+# time, so it has stopped or its VM is paused. Its engine gets no load requests
+# and no requests that another target can take. Where updates come at a longer
+# interval, the view is stale after two missing updates.
+STALE_MS = 700
+MISSED_UPDATES = 2
+STALE_MARGIN_MS = 40
+# Time to first byte above which a target is penalized for each millisecond that
+# it leaves a request unanswered. Nine in ten requests are answered sooner.
+ENGINE_FIRST_BYTE_MS = 800
+PLAIN_FIRST_BYTE_MS = 250
+SLOW_FIRST_BYTE_WEIGHT = 2.0
+# Load queue at the home, in fetch times, above which the next engine in the
+# order loads the adapter. A higher limit keeps adapters on fewer engines, a
+# lower one spreads a rush.
 HOME_WAIT_FETCHES = 1.0
-# Time of a fetch while none was told, as configured engines publish it; it only
-# says when the next engine in the order is taken.
+# Fetch time assumed until an engine reports one; engines publish this value in
+# their configuration. It only decides when the next engine in the order is
+# used.
 FIRST_FETCH_MS = 250.0
-# Loads waiting at an engine above which an adapter that it held before is
-# loaded elsewhere: three rounds of what it brings in at once.
+# Length of an engine's load queue at which an adapter that it held before is
+# loaded elsewhere: three rounds of the loads that it does in parallel.
 MAX_QUEUED_LOADS = 12
-# A load counts as in time if it is predicted to take at most this part of what
-# its caller has: the prediction errs, and what is in time by a hair is passed
-# over once it is late, so that its caller would wait in vain.
-LOAD_PATIENCE_PART = 0.75
-# A load that comes late, but within this part of the time for which the
-# request may wait at all, is waited for: to come back would cost its caller
-# more, and where loads are due in order it delays nobody who is in time.
-HELD_PART = 1 / 3
+# A load counts as in time if its predicted duration is at most this fraction of
+# its caller's time. Predictions err, and a load that becomes late yields to
+# those in time, so its caller would wait for nothing.
+IN_TIME_FRACTION = 0.75
+# A request waits for a late load that is done within this fraction of its
+# maximum wait: a retry would cost its caller more, and loads are ordered by due
+# time, so a late one delays none that is in time.
+LATE_WAIT_FRACTION = 1 / 3
 # How long an older version still serves while the new one is loaded. The
-# platform's bound is longer by the time that a request may wait.
+# platform allows longer, by the time that a request may wait.
 OLD_VERSION_MS = 2_500
 LATENCY_FLOOR_MS = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class View:
-    """A target process' last word on its engine.
+    """The last status update that an engine's sidecar sent to this gateway.
 
     Attributes:
-        instance: Name of the engine that it spoke of.
-        heard_at_ms: When the word arrived.
-        running: Requests that run there.
-        queued: Requests that wait there.
-        residents: Versions by adapter.
+        instance: Name of the engine.
+        received_at_ms: When the update arrived.
+        running: Requests that run at the engine.
+        queued: Requests that wait at the engine.
+        residents: Versions of the resident adapters, by adapter.
         pending: Adapters being loaded or waiting for a load.
-        own_in_flight: Requests that this process had there at that time.
+        own_in_flight: Requests that this gateway had there at that time.
         load_wait: How long a load took there at that time.
-        own_wishes: Loads wished from here since.
-        adapter_limit: Adapters that the engine can hold.
-        born_ms: Birth of the start that it spoke of, 0 if that is not told.
-        next_ms: Within what time it promised its next word, 0 if it did not.
-        asked_at_ms: When it was first told of uses or load requests since, to
-            which it answers at the pace of a user; 0 if it was not.
-        recent: Adapters that the engine held last and does not any more, the
-            one held last at the end.
+        own_load_requests: Load requests of this gateway since the update.
+        adapter_limit: Number of adapter slots of the engine.
+        born_ms: Start time of the engine's incarnation, 0 if unknown.
+        next_ms: Time to the next update as stated in this one, 0 if not stated.
+        notified_at_ms: When this gateway first reported uses or load requests
+            since the update, 0 if it did not. The sidecar then sends updates
+            at the interval of an active gateway.
+        recent: Adapters that the engine no longer holds, the most recent last.
     """
 
     instance: str
-    heard_at_ms: int
+    received_at_ms: int
     running: int
     queued: int
     residents: dict[str, int]
     pending: frozenset[str]
     own_in_flight: int = 0
     load_wait: adapter_keeper.LoadWait = adapter_keeper.LoadWait(0, 0.0)
-    own_wishes: int = 0
+    own_load_requests: int = 0
     adapter_limit: int = 16
     born_ms: int = 0
     next_ms: int = 0
-    asked_at_ms: int = 0
+    notified_at_ms: int = 0
     recent: tuple[str, ...] = ()
 
     @property
     def start(self) -> incarnation.Start:
-        """The start of the engine that it spoke of."""
+        """The incarnation of the engine that the update describes."""
         return incarnation.Start(self.instance, self.born_ms)
 
-    def is_silent(self, now_ms: int) -> bool:
-        """Whether its next word is overdue.
+    def is_stale(self, now_ms: int) -> bool:
+        """Whether the next update is overdue.
 
-        A gateway that begins to use an engine would otherwise send to one
-        that stands still for as long as the idle are told seldom.
+        After this gateway has reported uses or load requests, an answer is
+        expected within ``STALE_MS``. Otherwise a gateway that begins to use an
+        engine would send to a paused one for the long interval at which idle
+        gateways are updated.
         """
-        if self.asked_at_ms and now_ms - self.asked_at_ms > SILENT_MS:
+        if self.notified_at_ms and now_ms - self.notified_at_ms > STALE_MS:
             return True
-        promised_ms = SILENT_WORDS * self.next_ms + SILENT_MARGIN_MS
-        return now_ms - self.heard_at_ms > max(SILENT_MS, promised_ms)
+        promised_ms = MISSED_UPDATES * self.next_ms + STALE_MARGIN_MS
+        return now_ms - self.received_at_ms > max(STALE_MS, promised_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announced:
-    """A version that the operator announced, and when it was learned.
+    """A version that the operator announced.
 
     Attributes:
         version: The version.
-        at_ms: When it was learned.
-        before: The one announced before it.
+        at_ms: When this gateway received the announcement.
+        before: The version announced before it.
     """
 
     version: int
@@ -143,17 +147,18 @@
     before: "Announced | None" = None
 
     def oldest_served(self, now_ms: int) -> int:
-        """Returns the oldest version that still serves for a moment.
+        """Returns the oldest version that may still serve.
 
-        Each version has its own time: were it to begin anew with the next
-        one, several in a row would keep the first one in use for ever.
+        Each version has its own grace period. If it restarted with the next
+        announcement, a series of announcements would keep the first version in
+        use forever.
         """
         if now_ms - self.at_ms >= OLD_VERSION_MS:
             return self.version
         return self.before.oldest_served(now_ms) if self.before else 0
 
     def pruned(self, now_ms: int) -> "Announced":
-        """Returns it without those that serve no more."""
+        """Returns a copy without the versions that may no longer serve."""
         if now_ms - self.at_ms >= OLD_VERSION_MS:
             return Announced(self.version, self.at_ms)
         before = self.before.pruned(now_ms) if self.before else None
@@ -161,23 +166,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Patience:
+class WaitLimits:
     """How long a request may wait for a load.
 
     Attributes:
-        in_time_ms: From its arrival on, to be answered within its objective.
-        at_all_ms: From now on, to be answered within its time limit, with
-            enough left for a second try.
-        is_late: Whether it has waited past its objective.
+        in_time_ms: Longest wait, from its arrival, that lets it be answered
+            within its latency objective.
+        max_wait_ms: Longest wait, from now, that lets it be answered within
+            its time limit and leaves enough time for a second attempt.
+        is_late: Whether it has waited past its latency objective.
     """
 
     in_time_ms: float
-    at_all_ms: float
+    max_wait_ms: float
     is_late: bool = False
 
 
-# Of a request of which nothing else is known.
-DEFAULT_PATIENCE = Patience(800.0, 800.0)
+DEFAULT_WAIT_LIMITS = WaitLimits(800.0, 800.0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -187,9 +192,9 @@
     Attributes:
         send: Target to send to, None to wait for a load.
         load: Target that is to load the adapter, None if none needs to.
-        version: Version believed at ``send``, 0 if unknown.
-        full_for_ms: Where neither helps since every target has more loads
-            waiting than it does in time: for how long, by their number.
+        version: Version expected at ``send``, 0 if unknown.
+        full_for_ms: Predicted time for which every target is overloaded or has
+            more queued loads than it can do in time; 0 if one is not full.
     """
 
     send: roster_lib.Member | None
@@ -199,27 +204,32 @@
 
 
 class Placement:
-    """Residency and load of the targets, as one gateway believes them."""
+    """Residency and load of the targets, as last reported to one gateway."""
 
-    def __init__(self, random_source: random.Random, near: str) -> None:
-        """Starts knowing nothing.
+    def __init__(
+        self, random_source: random.Random, failure_domain: str
+    ) -> None:
+        """Creates a placement without any views.
 
         Args:
-            random_source: Breaks ties, so that gateways do not herd.
-            near: This process' failure domain.
+            random_source: Breaks ties, so that gateways do not all choose the
+                same target.
+            failure_domain: Failure domain of this gateway.
         """
         self.views: dict[str, View] = {}
         self.warm: dict[str, dict[str, None]] = {}
         self.announced: dict[str, Announced] = {}
         self._random = random_source
-        self._near = near
+        self._failure_domain = failure_domain
 
-    def announce(self, adapter: str, version: int, now_ms: int) -> bool:
-        """Learns of a new version; returns whether it is news.
+    def record_announcement(
+        self, adapter: str, version: int, now_ms: int
+    ) -> bool:
+        """Records an announced version; returns whether it is newer.
 
-        New weights of a base model come with new starts of its engines:
-        loaded in place they would empty an engine of every adapter. Requests
-        are not kept from the engines that run for a version that none has.
+        Versions of base models are ignored. Engines get new base weights only
+        with a new incarnation, since loading them in place would unload every
+        adapter. Until then requests must still reach the running engines.
         """
         if adapter_keeper.is_base(adapter):
             return False
@@ -230,7 +240,7 @@
         self.announced[adapter] = Announced(version, now_ms, before)
         return True
 
-    def hear(self, address: str, view: View) -> None:
+    def handle_update(self, address: str, view: View) -> None:
         """Applies a sidecar's status update, keyed by the target's address."""
         before = self.views.get(address)
         if before is None or before.start.is_other(view.start):
@@ -238,21 +248,21 @@
         self.views[address] = view
         warm = self.warm[address]
         for adapter in (*view.recent, *view.residents):
-            # The one held last goes last, so that the oldest is dropped.
+            # Moves it to the end, so that the least recent is dropped first.
             warm.pop(adapter, None)
             warm[adapter] = None
-        while len(warm) > adapter_keeper.WARM_PER_PLACE * view.adapter_limit:
+        while len(warm) > adapter_keeper.WARM_PER_SLOT * view.adapter_limit:
             del warm[next(iter(warm))]
 
     def forget(self, now_ms: int, keep_ms: int) -> None:
-        """Drops words that are too old to mean anything."""
+        """Drops views older than ``keep_ms``."""
         self.views = {
             address: view
             for address, view in self.views.items()
-            if now_ms - view.heard_at_ms < keep_ms
+            if now_ms - view.received_at_ms < keep_ms
         }
 
-    def disbelieve(self, member: roster_lib.Member, adapter: str) -> None:
+    def mark_absent(self, member: roster_lib.Member, adapter: str) -> None:
         """Records that a target does not hold an adapter."""
         view = self.view_of(member)
         if view is not None:
@@ -267,7 +277,7 @@
         member.listing = dataclasses.replace(listing, residents=residents)
 
     def view_of(self, member: roster_lib.Member) -> View | None:
-        """Returns the word on this very start of a target."""
+        """Returns the view of the listed incarnation of a target."""
         listing = member.listing
         view = self.views.get(listing.address)
         if view is None or view.instance != listing.instance:
@@ -276,17 +286,17 @@
             return None
         return view
 
-    def asked(self, member: roster_lib.Member, now_ms: int) -> None:
-        """Notes that a target process was told of uses or load requests."""
+    def note_demand_sent(self, member: roster_lib.Member, now_ms: int) -> None:
+        """Records that uses or load requests were sent to a sidecar."""
         view = self.view_of(member)
-        if view is not None and not view.asked_at_ms:
-            view.asked_at_ms = now_ms
+        if view is not None and not view.notified_at_ms:
+            view.notified_at_ms = now_ms
 
-    def outdated(self, member: roster_lib.Member) -> dict[str, int]:
-        """Returns newer versions of what a target holds in an older one.
+    def newer_versions(self, member: roster_lib.Member) -> dict[str, int]:
+        """Returns the announced versions of adapters that a target holds older.
 
-        They are all that its process needs to be told of versions: told all
-        that were announced, words would grow with each change of the day.
+        A sidecar needs no other announcements. If all were sent, messages would
+        grow with every announcement of the day.
         """
         view = self.view_of(member)
         if view is None:
@@ -298,53 +308,57 @@
                 newer[adapter] = announced.version
         return newer
 
-    def is_heard(self, member: roster_lib.Member, now_ms: int) -> bool:
-        """Whether the process beside this start was heard lately."""
+    def has_fresh_status(self, member: roster_lib.Member, now_ms: int) -> bool:
+        """Whether the listed incarnation's status update is not stale."""
         view = self.view_of(member)
-        return view is not None and not view.is_silent(now_ms)
+        return view is not None and not view.is_stale(now_ms)
 
-    def _is_silent(self, member: roster_lib.Member, now_ms: int) -> bool:
+    def _is_stale(self, member: roster_lib.Member, now_ms: int) -> bool:
         view = self.views.get(member.listing.address)
-        return view is not None and view.is_silent(now_ms)
+        return view is not None and view.is_stale(now_ms)
 
     def residents(
         self, member: roster_lib.Member, now_ms: int
     ) -> Mapping[str, int]:
-        """Returns what a target is believed to hold."""
+        """Returns the versions that a target holds, by adapter.
+
+        They come from its status update, or from the list of targets if the
+        update is stale.
+        """
         view = self.view_of(member)
-        if view is None or view.is_silent(now_ms):
+        if view is None or view.is_stale(now_ms):
             return member.listing.residents
         return view.residents
 
-    def _load_ms(self, member: roster_lib.Member, now_ms: int) -> float:
-        """Estimates the wait that other requests at a target cause."""
+    def _queueing_ms(self, member: roster_lib.Member, now_ms: int) -> float:
+        """Estimates the delay that other requests at a target cause."""
         health = member.health
         view = self.view_of(member)
         running, queued = health.in_flight, 0
-        if view is not None and not view.is_silent(now_ms):
-            # What was sent and ended since the word does not count: with
-            # short requests it would pass for a load that is not there.
-            since = health.in_flight - view.own_in_flight
-            running = max(running, view.running + since)
+        if view is not None and not view.is_stale(now_ms):
+            # Counts only requests that are still in flight. If ended ones
+            # counted, a target with many short requests would look overloaded.
+            sent_since = health.in_flight - view.own_in_flight
+            running = max(running, view.running + sent_since)
             queued = view.queued
         slots = max(1, member.listing.slot_count)
-        load_ms = REQUEST_COST_MS * running
-        # How many wait is the engine's word, or what is certain from here;
-        # the estimate of what runs is too rough to tell a full batch.
+        queueing_ms = REQUEST_COST_MS * running
+        # Adds only own requests beyond the request slots to the reported queue:
+        # the estimate of running requests is too rough to detect a full batch.
         queued += max(0, health.in_flight - slots)
-        load_ms += QUEUED_COST_MS * queued
-        silent_ms = health.silent_ms(now_ms) - ENGINE_PATIENCE_MS
-        return load_ms + SILENCE_WEIGHT * max(0, silent_ms)
+        queueing_ms += QUEUED_COST_MS * queued
+        slow_ms = health.silent_ms(now_ms) - ENGINE_FIRST_BYTE_MS
+        return queueing_ms + SLOW_FIRST_BYTE_WEIGHT * max(0, slow_ms)
 
     def cost_ms(self, member: roster_lib.Member, now_ms: int) -> float:
         """Estimates how much later than at an idle target a request starts."""
-        cost_ms = self._load_ms(member, now_ms)
+        cost_ms = self._queueing_ms(member, now_ms)
         cost_ms += FAILURE_COST_MS * member.health.failure_share
-        if member.listing.failure_domain != self._near:
-            cost_ms += FAR_COST_MS
+        if member.listing.failure_domain != self._failure_domain:
+            cost_ms += CROSS_DOMAIN_COST_MS
         return cost_ms
 
-    def plain(
+    def choose_plain(
         self,
         usable: list[roster_lib.Member],
         now_ms: int,
@@ -366,8 +380,8 @@
             slots = max(1, member.listing.slot_count)
             cost_ms = latency_ms * (1 + health.in_flight / slots)
             cost_ms += FAILURE_COST_MS * health.failure_share
-            silent_ms = health.silent_ms(now_ms) - PLAIN_PATIENCE_MS
-            cost_ms += SILENCE_WEIGHT * max(0, silent_ms)
+            slow_ms = health.silent_ms(now_ms) - PLAIN_FIRST_BYTE_MS
+            cost_ms += SLOW_FIRST_BYTE_WEIGHT * max(0, slow_ms)
             cost_ms *= self._random.uniform(0.9, 1.1)
             if best is None or cost_ms < best_ms:
                 best, best_ms = member, cost_ms
@@ -378,15 +392,15 @@
         adapter: str,
         candidates: list[roster_lib.Member],
         now_ms: int,
-        patience: Patience = DEFAULT_PATIENCE,
+        wait_limits: WaitLimits = DEFAULT_WAIT_LIMITS,
     ) -> Choice:
-        """Chooses for a request that needs an adapter.
+        """Chooses what to do with a request that needs an adapter.
 
         Args:
             adapter: The adapter.
             candidates: Targets that may get the request.
             now_ms: Now.
-            patience: How long the request may wait.
+            wait_limits: How long the request may wait.
 
         Returns:
             Where to send it, and where to have the adapter loaded.
@@ -394,41 +408,41 @@
         if not candidates:
             return Choice(None, None)
         announced = self.announced.get(adapter)
-        floor = announced.version if announced is not None else 0
-        best = self._cheapest(adapter, candidates, floor, now_ms)
+        min_version = announced.version if announced is not None else 0
+        best = self._cheapest(adapter, candidates, min_version, now_ms)
         if best is not None and self._is_overloaded(best, now_ms):
-            home = self._home(adapter, candidates, floor, now_ms)
-            if home is None or self._is_full(home, adapter, patience):
+            home = self._home(adapter, candidates, min_version, now_ms)
+            if home is None or self._is_full(home, adapter, wait_limits):
                 return Choice(None, None, full_for_ms=OVERLOADED_RETRY_MS)
             return Choice(None, home)
         if best is not None:
             held = self.residents(best, now_ms).get(adapter, 0)
-            silent = self._is_silent(best, now_ms)
-            if not silent and not self._is_strained(best, now_ms):
-                return Choice(best, None, held if floor else 0)
-            home = self._home(adapter, candidates, floor, now_ms)
-            if silent and home is not None:
-                # A frozen VM would keep the request past its deadline; a
-                # load elsewhere takes a moment.
+            stale = self._is_stale(best, now_ms)
+            if not stale and not self._is_degraded(best, now_ms):
+                return Choice(best, None, held if min_version else 0)
+            home = self._home(adapter, candidates, min_version, now_ms)
+            if stale and home is not None:
+                # A paused VM would hold the request past its deadline, while a
+                # load elsewhere takes a fraction of a second.
                 return Choice(None, home)
-            if home is not None and self._is_strained(home, now_ms):
-                # Where all are strained alike a copy is a fetch for nothing.
+            if home is not None and self._is_degraded(home, now_ms):
+                # A copy on another degraded engine would not help.
                 home = None
-            return Choice(best, home, held if floor else 0)
-        home = self._home(adapter, candidates, floor, now_ms)
+            return Choice(best, home, held if min_version else 0)
+        home = self._home(adapter, candidates, min_version, now_ms)
         if announced is not None:
             oldest = announced.oldest_served(now_ms)
             old = self._cheapest(adapter, candidates, oldest, now_ms)
             if old is not None:
-                # Serving the old version for a moment longer spares callers
-                # the wait for a replacement, which begins only when all
-                # runs on the old one have ended.
+                # The new version is loaded in place only when all runs of the
+                # old one have ended; serving the old one meanwhile spares
+                # callers that wait.
                 return Choice(old, home)
-        if home is not None and self._is_full(home, adapter, patience):
+        if home is not None and self._is_full(home, adapter, wait_limits):
             return Choice(None, None, full_for_ms=self._full_for_ms(home))
         if home is None and self._any_overloaded(candidates, now_ms):
-            # The first engine that is back after a restart of all would get
-            # everything at once, and answer nothing in time.
+            # After a restart of all engines the first one that is ready would
+            # otherwise get every request and answer none in time.
             return Choice(None, None, full_for_ms=OVERLOADED_RETRY_MS)
         return Choice(None, home)
 
@@ -438,19 +452,19 @@
         return any(self._is_overloaded(one, now_ms) for one in candidates)
 
     def load_wait_ms(self, address: str) -> float:
-        """Predicts how long a load takes that is wished now."""
+        """Predicts how long a load that is requested now takes."""
         view = self.views[address]
         wait = view.load_wait
-        return wait.wait_ms + wait.gap_ms * view.own_wishes
+        return wait.wait_ms + wait.gap_ms * view.own_load_requests
 
     def _in_time_ms(self, address: str) -> float:
-        """Predicts the same, ahead of loads that come too late anyway."""
+        """Predicts how long it takes if it precedes loads that are late."""
         view = self.views[address]
         wait = view.load_wait
-        return wait.in_time_ms + wait.gap_ms * view.own_wishes
+        return wait.in_time_ms + wait.gap_ms * view.own_load_requests
 
     def _queue_ms(self, address: str) -> float:
-        """Predicts how long a load would wait before it is begun."""
+        """Predicts how long a load is queued before its fetch starts."""
         return (
             self._in_time_ms(address) - self.views[address].load_wait.fetch_ms
         )
@@ -459,62 +473,64 @@
         return self.views[address].load_wait.fetch_ms or FIRST_FETCH_MS
 
     def _is_full(
-        self, home: roster_lib.Member, adapter: str, patience: Patience
+        self, home: roster_lib.Member, adapter: str, wait_limits: WaitLimits
     ) -> bool:
-        """Whether a load at its home comes too late for a request.
+        """Whether a load at the home engine comes too late for a request.
 
-        One that has waited past its objective goes on waiting while those
-        that are late have their turn: it is worth more to its caller than a
-        refusal. Where they have none it is told at once.
+        A late request waits on while late loads still progress, since even a
+        late answer is worth more to its caller than a rejection. If they do
+        not, the request is rejected at once.
         """
         address = home.listing.address
-        if patience.is_late:
-            return self.load_wait_ms(address) > patience.at_all_ms
+        if wait_limits.is_late:
+            return self.load_wait_ms(address) > wait_limits.max_wait_ms
         if adapter in self.views[address].pending:
             return False
-        in_time_ms = LOAD_PATIENCE_PART * patience.in_time_ms
-        if self._in_time_ms(address) <= in_time_ms:
+        on_time_ms = IN_TIME_FRACTION * wait_limits.in_time_ms
+        if self._in_time_ms(address) <= on_time_ms:
             return False
-        at_all_ms = HELD_PART * patience.at_all_ms
-        return self.load_wait_ms(address) > at_all_ms
+        late_wait_ms = LATE_WAIT_FRACTION * wait_limits.max_wait_ms
+        return self.load_wait_ms(address) > late_wait_ms
 
     def _full_for_ms(self, home: roster_lib.Member) -> int:
         return round(self.load_wait_ms(home.listing.address))
 
     def _is_overloaded(self, member: roster_lib.Member, now_ms: int) -> bool:
-        return self._load_ms(member, now_ms) > OVERLOADED_MS
+        return self._queueing_ms(member, now_ms) > OVERLOADED_MS
 
-    def _pending(self, address: str) -> int:
+    def _pending_count(self, address: str) -> int:
         return len(self.views[address].pending)
 
-    def _is_strained(self, member: roster_lib.Member, now_ms: int) -> bool:
-        """Whether a copy elsewhere is worth its load.
+    def _is_degraded(self, member: roster_lib.Member, now_ms: int) -> bool:
+        """Whether a target's load or failures justify a copy elsewhere.
 
-        A single failure is no reason: every adapter of that engine would be
-        fetched again somewhere, and push out what others need.
+        A single failure does not: every adapter of that engine would be fetched
+        again elsewhere and evict adapters that other requests need.
         """
-        if member.health.failure_share > STRAINED_SHARE:
+        if member.health.failure_share > DEGRADED_FAILURE_SHARE:
             return True
-        return self._load_ms(member, now_ms) > SPREAD_ABOVE_MS
+        return self._queueing_ms(member, now_ms) > REPLICATION_THRESHOLD_MS
 
-    def wished(self, member: roster_lib.Member, adapter: str) -> None:
-        """Notes a wish for a load, before the target's next word has it."""
+    def record_load_request(
+        self, member: roster_lib.Member, adapter: str
+    ) -> None:
+        """Adds a load request to a view until the next update includes it."""
         view = self.view_of(member)
         if view is not None and adapter not in view.pending:
             view.pending |= {adapter}
-            view.own_wishes += 1
+            view.own_load_requests += 1
 
     def _cheapest(
         self,
         adapter: str,
         candidates: list[roster_lib.Member],
-        floor: int,
+        min_version: int,
         now_ms: int,
     ) -> roster_lib.Member | None:
         holders = [
             member
             for member in candidates
-            if self.residents(member, now_ms).get(adapter, -1) >= floor
+            if self.residents(member, now_ms).get(adapter, -1) >= min_version
         ]
         if not holders:
             return None
@@ -527,64 +543,67 @@
         self,
         adapter: str,
         candidates: list[roster_lib.Member],
-        floor: int,
+        min_version: int,
         now_ms: int,
     ) -> roster_lib.Member | None:
-        by_name = {}
+        by_address = {}
         for member in candidates:
-            if not self.is_heard(member, now_ms):
+            if not self.has_fresh_status(member, now_ms):
                 continue
             view = self.views[member.listing.address]
             if adapter in view.pending:
                 return member
             held = view.residents.get(adapter, -1)
-            if held >= floor:
+            if held >= min_version:
                 continue
-            by_name[member.listing.address] = member
-        if not by_name:
+            by_address[member.listing.address] = member
+        if not by_address:
             return None
         base = adapter_keeper.base_of(adapter)
-        running = {
+        with_base_model = {
             address: member
-            for address, member in by_name.items()
+            for address, member in by_address.items()
             if base in self.views[address].residents
         }
-        # An engine that is down, or has just restarted, holds no base model;
-        # a load there would wait for seconds.
-        by_name = running or by_name
-        ordered = rendezvous.order(adapter, by_name)
-        stale = [
+        # An engine that is down or has just restarted holds no base model; a
+        # load there would wait for seconds.
+        by_address = with_base_model or by_address
+        ordered = rendezvous.order(adapter, by_address)
+        outdated = [
             address
             for address in ordered
             if adapter in self.views[address].residents
         ]
-        fresh = [address for address in ordered if address not in stale]
-        # An engine loads what it held lately ten times as fast, and without a
-        # fetch from the weight store; a queue there is the shorter wait.
+        without_adapter = [
+            address for address in ordered if address not in outdated
+        ]
+        # An engine loads an adapter that it held recently ten times as fast,
+        # without a fetch from the weight store, so even a queue there is the
+        # shorter wait.
         warm = [
             address
-            for address in fresh
+            for address in without_adapter
             if adapter in self.warm.get(address, ())
             and len(self.views[address].pending) < MAX_QUEUED_LOADS
-            and not self._is_strained(by_name[address], now_ms)
+            and not self._is_degraded(by_address[address], now_ms)
         ]
         if warm:
-            return by_name[min(warm, key=self._pending)]
-        # A target that still serves the old version comes last: replacing
-        # it there makes its callers wait.
-        for address in fresh + stale:
-            member = by_name[address]
+            return by_address[min(warm, key=self._pending_count)]
+        # Targets that still serve the old version come last, since replacing it
+        # makes their callers wait.
+        for address in without_adapter + outdated:
+            member = by_address[address]
             if self._queue_ms(address) > HOME_WAIT_FETCHES * self._fetch_ms(
                 address
             ):
                 continue
-            if not self._is_strained(member, now_ms):
+            if not self._is_degraded(member, now_ms):
                 return member
-        able = [
+        accepting = [
             address
-            for address, member in by_name.items()
+            for address, member in by_address.items()
             if not self._is_overloaded(member, now_ms)
         ]
-        if not able:
+        if not accepting:
             return None
-        return by_name[min(able, key=self._pending)]
+        return by_address[min(accepting, key=self._pending_count)]
--- a/tests/fleet/test_audience.py
+++ b/tests/fleet/test_audience.py
@@ -1,4 +1,4 @@
-"""Which gateways a process beside an engine tells, and when: no I/O."""
+"""Tests which gateways a sidecar updates, and when, without I/O."""
 
 from radishstack.process import audience as audience_lib
 
@@ -6,13 +6,15 @@
 
 
 def _audience(count: int, *, users: int = 0) -> audience_lib.Audience:
-    """Makes an audience of which the first gateways use the engine."""
+    """Creates an audience whose first ``users`` gateways are active."""
     audience = audience_lib.Audience()
-    _hear(audience, count, users, NOW_MS - audience_lib.USING_MS - 1, new=True)
+    _send_demands(
+        audience, count, users, NOW_MS - audience_lib.ACTIVE_MS - 1, new=True
+    )
     return audience
 
 
-def _hear(
+def _send_demands(
     audience: audience_lib.Audience,
     count: int,
     users: int,
@@ -21,7 +23,7 @@
     new: bool = False,
 ) -> None:
     for number in range(count):
-        audience.heard(
+        audience.record_demand(
             (f"10.0.0.{number}", 80),
             f"10.0.0.{number}:90",
             frozenset(),
@@ -30,110 +32,113 @@
         )
 
 
-def _told(count: int, *, users: int, seconds: int = 10) -> dict[str, int]:
-    """Returns how often each gateway is told in some seconds."""
+def _count_updates(
+    count: int, *, users: int, seconds: int = 10
+) -> dict[str, int]:
+    """Returns how many updates each gateway gets in some seconds."""
     audience = _audience(count, users=users)
-    told: dict[str, int] = {}
+    updates: dict[str, int] = {}
     for now_ms in range(NOW_MS, NOW_MS + seconds * 1_000, 10):
         if not now_ms % 400:
-            _hear(audience, count, users, now_ms)
-        for word in audience.due(now_ms, changed=False, held=frozenset()):
-            for host, _ in word.addresses:
-                told[host] = told.get(host, 0) + 1
-    return told
+            _send_demands(audience, count, users, now_ms)
+        for recipients in audience.due(now_ms, changed=False, held=frozenset()):
+            for host, _ in recipients.addresses:
+                updates[host] = updates.get(host, 0) + 1
+    return updates
 
 
-def test_users_are_told_often_and_others_seldom() -> None:
-    """Symptom: a tenth of each VM goes to control at a hundred VMs.
+def test_active_gateways_get_frequent_updates_and_idle_ones_rare() -> None:
+    """Guards against control messages that use a tenth of each VM at 100 VMs.
 
-    Sequence: 68 gateways stand before 32 engines, each uses a few. Cause:
-    every engine's process told all of them three times a second, 206 words a
-    second; 90 are enough.
+    Each of 68 gateways uses a few of 32 engines, and each sidecar updated all
+    gateways three times a second: 206 messages a second, where 90 are enough.
     """
-    told = _told(68, users=5)
-    assert all(told[f"10.0.0.{number}"] >= 28 for number in range(5)), told
-    idle = [told[f"10.0.0.{number}"] for number in range(5, 68)]
+    updates = _count_updates(68, users=5)
+    assert all(updates[f"10.0.0.{number}"] >= 28 for number in range(5)), (
+        updates
+    )
+    idle = [updates[f"10.0.0.{number}"] for number in range(5, 68)]
     assert max(idle) <= 11 and min(idle) >= 9, idle
 
 
-def test_a_small_crowd_is_told_like_users() -> None:
-    """Few gateways cost little, and fresh beliefs serve their callers."""
-    told = _told(6, users=0)
-    assert all(count >= 45 for count in told.values()), told
+def test_idle_gateways_in_a_small_fleet_get_frequent_updates() -> None:
+    """Updates to few gateways cost little, and a fresh status helps callers."""
+    updates = _count_updates(6, users=0)
+    assert all(count >= 45 for count in updates.values()), updates
 
 
-def test_a_word_promises_when_the_next_one_comes() -> None:
-    """Symptom: engines that nobody uses pass for gone.
+def test_an_update_states_when_the_next_one_comes() -> None:
+    """Guards against treating unused engines as lost.
 
-    Sequence: an idle gateway hears of an engine once a second. Cause: it
-    judged silence by the pace at which users are told.
+    An idle gateway gets an update of an engine once a second, and judged it
+    stale by the interval of active gateways.
     """
     audience = _audience(68)
-    _hear(audience, 68, 1, NOW_MS)
-    promises = {
-        word.next_ms: len(word.addresses)
-        for word in audience.due(NOW_MS, changed=False, held=frozenset())
+    _send_demands(audience, 68, 1, NOW_MS)
+    counts_by_interval = {
+        recipients.next_ms: len(recipients.addresses)
+        for recipients in audience.due(NOW_MS, changed=False, held=frozenset())
     }
-    assert promises == {
-        audience_lib.USER_SELDOM_MS: 1,
-        audience_lib.IDLE_MS: 67,
+    assert counts_by_interval == {
+        audience_lib.MAX_ACTIVE_UPDATE_MS: 1,
+        audience_lib.IDLE_UPDATE_MS: 67,
     }
 
 
-def test_those_that_wait_are_told_of_a_change_at_once() -> None:
-    """A request that waits for a load must not wait for the regular word."""
+def test_gateways_that_wait_for_a_load_get_changes_at_once() -> None:
+    """A request that waits for a load must not wait for a regular update."""
     audience = _audience(68)
     audience.due(NOW_MS, changed=False, held=frozenset())
     address = ("10.0.0.3", 80)
-    audience.heard(
+    audience.record_demand(
         address,
         "10.0.0.3:90",
         frozenset({"base/a1"}),
         uses=True,
         now_ms=NOW_MS + 1,
     )
-    words = audience.due(NOW_MS + 2, changed=True, held=frozenset())
-    assert [word.addresses for word in words] == [(address,)]
-    words = audience.due(NOW_MS + 3, changed=False, held=frozenset({"base/a1"}))
-    assert [word.addresses for word in words] == [(address,)]
+    due = audience.due(NOW_MS + 2, changed=True, held=frozenset())
+    assert [recipients.addresses for recipients in due] == [(address,)]
+    due = audience.due(NOW_MS + 3, changed=False, held=frozenset({"base/a1"}))
+    assert [recipients.addresses for recipients in due] == [(address,)]
 
 
-def test_one_that_begins_to_use_the_engine_is_told_as_a_user() -> None:
-    """Symptom: an engine passes for silent to a gateway that begins to use it.
+def test_a_gateway_that_becomes_active_is_updated_at_once() -> None:
+    """Guards against treating an engine as stale when its use begins.
 
-    Sequence: a gateway that was told a while ago says that it uses the engine.
-    Cause: it was told again only when the idle ones were due, after more than
-    the 700 ms for which it waits for an answer.
+    A gateway reports its first use some time after its last update. Its next
+    update came at the idle interval, after more than the 700 ms for which it
+    waits for an answer.
     """
     audience = _audience(68)
     audience.due(NOW_MS, changed=False, held=frozenset())
     assert not audience.due(NOW_MS + 400, changed=False, held=frozenset())
-    _hear(audience, 1, 1, NOW_MS + 410)
-    (word,) = audience.due(NOW_MS + 410, changed=False, held=frozenset())
-    assert word.addresses == (("10.0.0.0", 80),)
-    assert word.next_ms == audience_lib.USER_SELDOM_MS
+    _send_demands(audience, 1, 1, NOW_MS + 410)
+    (recipients,) = audience.due(NOW_MS + 410, changed=False, held=frozenset())
+    assert recipients.addresses == (("10.0.0.0", 80),)
+    assert recipients.next_ms == audience_lib.MAX_ACTIVE_UPDATE_MS
 
 
-def test_words_name_every_gateway_in_turn() -> None:
-    """Symptom: half of all control bytes are names of gateways.
+def test_updates_name_every_gateway_in_turn() -> None:
+    """Guards against control traffic that consists mostly of gateway names.
 
-    Sequence: 68 gateways, each word names all of them, once a second from
-    each of 32 engines: 107 of 172 MB between failure domains in 45 s. Cause:
-    names in a word grew with the fleet, and words did as well.
+    Each update named all of 68 gateways and was sent once a second by each of
+    32 engines: 107 of 172 MB between failure domains in 45 s. Both the names in
+    an update and the number of updates grew with the fleet.
     """
     for count in (3, 68, 390):
         audience = _audience(count)
         named: set[str] = set()
-        # As many words as 32 engines tell one idle gateway in some seconds.
+        # As many updates as 32 engines send to one idle gateway in seconds.
         for _ in range(128):
-            names = audience.take_names()
-            assert len(names) <= audience_lib.NAMES_PER_WORD
+            names = audience.next_names()
+            assert len(names) <= audience_lib.NAMES_PER_UPDATE
             named.update(names)
         assert len(named) == count
 
 
-def test_a_gateway_that_is_gone_is_told_no_more() -> None:
-    """Its address may belong to another process by then."""
+def test_a_lost_gateway_gets_no_more_updates() -> None:
+    """Another process may have its address by then."""
     audience = _audience(3)
-    audience.forget(NOW_MS + audience_lib.GATEWAY_MS)
+    audience.expire(NOW_MS + audience_lib.GATEWAY_TTL_MS)
     assert not audience.due(NOW_MS, changed=True, held=frozenset())
--- a/tests/fleet/test_cold_rush.py
+++ b/tests/fleet/test_cold_rush.py
@@ -1,8 +1,9 @@
-"""Load pattern: demand moves to many cold adapters at once.
+"""Tests a rush in which demand moves to many cold adapters at once.
 
-Engines bring in four adapters at a time, so a rush above that rate queues.
-What is accepted must be served in time; the rest must be told at once, with a
-time to come back that fits the queue. Decisions only, in virtual time.
+Engines load four adapters at a time, so a rush above that rate queues. Accepted
+requests must be served in time. The others must be rejected at once, with a
+retry delay that matches the queue. Only decisions are simulated, in virtual
+time.
 """
 
 import collections
@@ -19,13 +20,14 @@
 SLOTS = 16
 LOAD_MS = 250
 WARM_LOAD_MS = 25
-MEMORY = 96
-# Chance of two requests in one step: 115 a second.
-ORDINARY_PART = 0.575
+MAX_WARM = 96
+# Probability of two requests in one step, which gives 115 requests a second.
+PAIR_PROBABILITY = 0.575
 RUN_MS = 600
 STEP_MS = 10
 RUSH_MS = 4_000
-# An engine brings in 16 a second, six of them 96; the rush is twice that.
+# An engine loads 16 adapters a second and six engines 96; the rush is twice
+# that.
 ARRIVALS_PER_STEP = 2
 WAIT_BOUND_MS = 1_500
 OBJECTIVE_MS = 800
@@ -37,7 +39,7 @@
     residents: dict[str, int]
     transit: dict[str, int]
     accepted: int = 0
-    memory: dict[str, None] = dataclasses.field(default_factory=dict)
+    warm: dict[str, None] = dataclasses.field(default_factory=dict)
     fetches: int = 0
 
     def step(self, now_ms: int) -> None:
@@ -67,12 +69,12 @@
             assert len(self.residents) + len(self.transit) <= SLOTS
 
     def fetch(self, adapter: str) -> int:
-        """Brings an adapter in; returns how long that takes."""
-        held = adapter in self.memory
-        self.memory.pop(adapter, None)
-        self.memory[adapter] = None
-        while len(self.memory) > MEMORY:
-            del self.memory[next(iter(self.memory))]
+        """Loads an adapter; returns how long that takes."""
+        held = adapter in self.warm
+        self.warm.pop(adapter, None)
+        self.warm[adapter] = None
+        while len(self.warm) > MAX_WARM:
+            del self.warm[next(iter(self.warm))]
         if held:
             return WARM_LOAD_MS
         self.fetches += 1
@@ -110,11 +112,11 @@
         self.waiting: list[_Waiting] = []
         self.running: list[tuple[str, str, int]] = []
         self.waits_ms: list[int] = []
-        self.refused_ms: list[int] = []
-        self.gave_up = 0
+        self.rejected_ms: list[int] = []
+        self.timed_out = 0
 
     def demand(self, name: str, now_ms: int) -> adapter_keeper.Demand:
-        """Returns all that the gateway uses and waits for at an engine."""
+        """Returns the gateway's uses and load requests at an engine."""
         uses = tuple(
             adapter_keeper.Use(adapter, 1, 0)
             for at, adapter, _ in self.running
@@ -125,18 +127,20 @@
             if one.home == name:
                 dues_ms[one.adapter].append(one.due_at_ms - now_ms)
         wants = tuple(
-            adapter_keeper.Want(adapter, 0, len(dues), min(dues), max(dues))
+            adapter_keeper.LoadRequest(
+                adapter, 0, len(dues), min(dues), max(dues)
+            )
             for adapter, dues in dues_ms.items()
         )
         return adapter_keeper.Demand(
             "g", name, SLOTS, ("base",), uses, wants, {}
         )
 
-    def tell(self, now_ms: int) -> None:
-        """Sidecars hear the gateway, and it hears them."""
+    def exchange_updates(self, now_ms: int) -> None:
+        """Exchanges demands and status updates with all sidecars."""
         for name, engine in self.engines.items():
             demand = self.demand(name, now_ms)
-            engine.keeper.hear(demand, now_ms)
+            engine.keeper.handle_update(demand, now_ms)
             member = self.roster.members[name]
             view = placement_lib.View(
                 name,
@@ -147,22 +151,22 @@
                 engine.keeper.pending(now_ms),
                 load_wait=engine.keeper.load_wait(now_ms),
             )
-            self.placement.hear(member.listing.address, view)
+            self.placement.handle_update(member.listing.address, view)
 
     def place(self, request: _Waiting, now_ms: int) -> bool:
-        """Places one request; returns whether it goes on waiting."""
+        """Places one request; returns whether it continues to wait."""
         usable = self.roster.usable("llm", now_ms)
         waited_ms = now_ms - request.since_ms
-        patience = placement_lib.Patience(
+        patience = placement_lib.WaitLimits(
             in_time_ms=OBJECTIVE_MS,
-            at_all_ms=WAIT_BOUND_MS - waited_ms,
+            max_wait_ms=WAIT_BOUND_MS - waited_ms,
             is_late=waited_ms >= OBJECTIVE_MS,
         )
         choice = self.placement.choose(
             request.adapter, usable, now_ms, patience
         )
         if choice.full_for_ms:
-            self.refused_ms.append(waited_ms)
+            self.rejected_ms.append(waited_ms)
             return False
         if choice.send is not None:
             name = choice.send.listing.instance
@@ -172,31 +176,31 @@
             return False
         request.home = ""
         if choice.load is not None:
-            self.placement.wished(choice.load, request.adapter)
+            self.placement.record_load_request(choice.load, request.adapter)
             request.home = choice.load.listing.instance
         if waited_ms > WAIT_BOUND_MS:
-            self.gave_up += 1
+            self.timed_out += 1
             return False
         return True
 
     def sent(self, instance: str, now_ms: int) -> None:
-        """Takes the end of a send."""
+        """Records the result of a send."""
         self.roster.answered(instance, 50)
 
     def arrivals(self) -> list[str]:
-        """Returns the adapters asked for in one step."""
+        """Returns the adapters requested in one step."""
         return [
             f"base/a{self.random.randrange(3_000)}"
             for _ in range(ARRIVALS_PER_STEP)
         ]
 
-    def play(self) -> None:
-        """Plays the rush and what follows it."""
+    def run(self) -> None:
+        """Simulates the rush and the time after it."""
         for now_ms in range(1_000, 4_000 + self.length_ms, STEP_MS):
             self.running = [one for one in self.running if one[2] > now_ms]
             for engine in self.engines.values():
                 engine.step(now_ms)
-            self.tell(now_ms)
+            self.exchange_updates(now_ms)
             if now_ms < 1_000 + self.length_ms:
                 self.waiting.extend(
                     _Waiting(adapter, now_ms) for adapter in self.arrivals()
@@ -206,26 +210,25 @@
             ]
 
 
-def test_a_rush_of_cold_adapters_is_served_at_the_engines_rate() -> None:
-    """Symptom: in a rush everybody waits, and nearly all are late.
+def test_a_rush_of_cold_adapters_is_served_at_the_engines_load_rate() -> None:
+    """Guards against late answers to nearly all requests in a rush.
 
-    Sequence: twice as many cold adapters are asked for as engines can bring
-    in. Cause: all of them queued, so each waited for the loads of those that
-    had given up meanwhile.
+    Twice as many cold adapters are requested as engines can load. All requests
+    queued, so each waited for loads whose callers had timed out.
     """
     for seed in range(5):
         rush = _Rush(seed)
-        rush.play()
+        rush.run()
         possible = ENGINES * adapter_keeper.MAX_IN_TRANSIT * RUSH_MS / LOAD_MS
         in_time = sum(wait_ms <= OBJECTIVE_MS for wait_ms in rush.waits_ms)
         assert in_time >= possible, (in_time, possible)
-        assert rush.gave_up == 0, rush.gave_up
-        # A refusal is told at once, not after a wait in vain.
-        assert statistics.mean(rush.refused_ms) <= STEP_MS
+        assert rush.timed_out == 0, rush.timeout_failure
+        # Requests are rejected at once, not after a useless wait.
+        assert statistics.mean(rush.rejected_ms) <= STEP_MS
 
 
 class _Ordinary(_Rush):
-    """Zipf popularity, two of six engines away, a failure now and then."""
+    """Zipf popularity, four of six engines and occasional failures."""
 
     engine_count = 4
     length_ms = 12_000
@@ -234,39 +237,42 @@
         super().__init__(seed)
         weights = [1 / rank**1.2 for rank in range(1, 3_001)]
         self.weights = list(itertools.accumulate(weights))
-        self.asked: set[str] = set()
+        self.requested: set[str] = set()
 
     def sent(self, instance: str, now_ms: int) -> None:
-        """One send in ten fails, as where answers are lost."""
+        """Records a failure for one send in ten, as if answers were lost."""
         if self.random.random() < 0.1:
             self.roster.failed(instance, now_ms)
         else:
             self.roster.answered(instance, 50)
 
     def arrivals(self) -> list[str]:
-        """About 115 requests a second."""
-        if self.random.random() > ORDINARY_PART:
+        """Returns the adapters of about 115 requests a second."""
+        if self.random.random() > PAIR_PROBABILITY:
             return []
         picked = self.random.choices(
             range(3_000), cum_weights=self.weights, k=2
         )
         names = [f"base/a{rank}" for rank in picked]
-        self.asked.update(names)
+        self.requested.update(names)
         return names
 
 
-def test_adapters_keep_to_few_engines() -> None:
-    """Symptom: the weight store is asked twice for every adapter.
+def test_adapters_stay_on_few_engines() -> None:
+    """Guards against fetching every adapter twice from the weight store.
 
-    Sequence: ordinary load on four of six engines, one send in ten fails.
-    Cause: a single failure had all adapters of an engine loaded elsewhere, and
-    a queue of four sent an adapter to an engine that had never held it. Each
-    adapter has to be fetched once: 1.06 fetches per adapter over three seeds
-    (1.28 before).
+    Under ordinary load on four of six engines, one send in ten fails. A single
+    failure had all adapters of an engine loaded elsewhere, and a queue of four
+    loads moved an adapter to an engine that had never held it. Each adapter has
+    to be fetched once: over three seeds there were 1.28 fetches per adapter
+    with these faults and 1.06 without.
     """
     for seed in range(3):
-        day = _Ordinary(seed)
-        day.play()
-        fetches = sum(engine.fetches for engine in day.engines.values())
-        assert fetches <= 1.15 * len(day.asked), (fetches, len(day.asked))
-        assert day.gave_up == 0
+        load = _Ordinary(seed)
+        load.run()
+        fetches = sum(engine.fetches for engine in load.engines.values())
+        assert fetches <= 1.15 * len(load.requested), (
+            fetches,
+            len(load.requested),
+        )
+        assert load.timed_out == 0
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -63,13 +63,13 @@
                     lambda: engine.swallow_orders < 1_000_000 - 6,
                     "orders go unanswered",
                 )
-                before_ms = gateway.placement.views[address].heard_at_ms
+                before_ms = gateway.placement.views[address].received_at_ms
                 swallowed = engine.swallow_orders
                 await fleet.until(
                     lambda: engine.swallow_orders < swallowed - 8,
                     "more orders go unanswered",
                 )
-                after_ms = gateway.placement.views[address].heard_at_ms
+                after_ms = gateway.placement.views[address].received_at_ms
                 assert after_ms > before_ms
                 engine.swallow_orders = 0
 
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go and where adapters are loaded, without I/O."""
+"""Tests the choice of targets for requests and loads, without I/O."""
 
 import dataclasses
 import random
@@ -32,7 +32,7 @@
     placement = placement_lib.Placement(random.Random(1), "north")
     for name, member in roster.members.items():
         held = {"base": 1} | residents.get(name, {})
-        placement.hear(
+        placement.handle_update(
             member.listing.address,
             placement_lib.View(name, NOW_MS, 0, 0, held, frozenset()),
         )
@@ -49,15 +49,15 @@
 
 
 def test_a_holder_is_preferred_to_a_load() -> None:
-    """A load would cost the caller a quarter of a second."""
+    """A load would delay the caller by a quarter of a second."""
     roster = _roster(4)
     placement = _placement(roster, i2={ADAPTER: 1})
     choice = _choose(placement, roster)
     assert choice.send is roster.members["i2"] and choice.load is None
 
 
-def test_every_gateway_picks_the_same_home() -> None:
-    """Without a message, so that one load serves the callers of all."""
+def test_every_gateway_picks_the_same_home_without_messages() -> None:
+    """One load then serves the callers of all gateways."""
     roster = _roster(6)
     homes = {_choose(_placement(roster), roster).load.listing.instance}
     for seed in range(5):
@@ -68,7 +68,7 @@
 
 
 def test_a_load_under_way_is_shared() -> None:
-    """Waiters join a target that is already loading, not their own home."""
+    """Requests wait for a target that is already loading, not for the home."""
     roster = _roster(6)
     placement = _placement(roster)
     home = _choose(placement, roster).load
@@ -78,7 +78,7 @@
 
 
 def test_a_busy_holder_gets_a_second_copy_beside_it() -> None:
-    """Load pattern: one adapter takes more than one engine can carry."""
+    """One adapter gets more requests than one engine can serve."""
     roster = _roster(4)
     placement = _placement(roster, i0={ADAPTER: 1})
     roster.members["i0"].listing = dataclasses.replace(
@@ -90,11 +90,11 @@
     assert choice.load is not None and choice.load is not choice.send
 
 
-def test_where_all_engines_fail_no_copies_are_made() -> None:
-    """Symptom: each adapter is fetched once more while engines fail.
+def test_no_copy_is_loaded_where_all_engines_fail() -> None:
+    """Guards against fetching each adapter again while all engines fail.
 
-    Sequence: every engine fails half of its requests for some seconds. Cause:
-    a copy was made at an engine that fails as often as the first one.
+    Every engine fails half of its requests for some seconds, and a copy was
+    loaded at an engine that fails as often as the first one.
     """
     roster = _roster(4, slots=64)
     placement = _placement(roster, i2={ADAPTER: 1})
@@ -109,52 +109,51 @@
 
 
 def test_an_old_version_serves_only_while_the_new_one_is_loaded() -> None:
-    """Symptom: callers get an answer of a version that was replaced.
+    """Guards against answers of a version that was replaced.
 
-    Sequence: a version is announced while the old one is resident. Cause:
-    residency was matched by name only.
+    A version is announced while the old one is resident, and residency was
+    matched by name only.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
-    placement.announce(ADAPTER, 2, NOW_MS)
+    placement.record_announcement(ADAPTER, 2, NOW_MS)
     first = _choose(placement, roster)
     assert first.send is roster.members["i0"]
     assert first.load is not None and first.load is not first.send
     later_ms = NOW_MS + placement_lib.OLD_VERSION_MS
     for view in placement.views.values():
-        view.heard_at_ms = later_ms
+        view.received_at_ms = later_ms
     assert _choose(placement, roster, later_ms).send is None
 
 
-def test_versions_named_in_a_row_are_each_given_their_time() -> None:
-    """Symptom: callers get a version two behind, five seconds after it went.
+def test_each_of_several_announced_versions_has_its_own_grace_period() -> None:
+    """Guards against answers of a version replaced twice, five seconds ago.
 
-    Sequence: a version is announced, and the next one before the first is
-    everywhere. Cause: the time for which an older version still serves began
-    anew with each announcement.
+    A second version is announced before the first is loaded everywhere, and
+    each announcement restarted the grace period of all older versions.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
-    placement.announce(ADAPTER, 2, NOW_MS)
+    placement.record_announcement(ADAPTER, 2, NOW_MS)
     second_ms = NOW_MS + placement_lib.OLD_VERSION_MS - 100
-    placement.announce(ADAPTER, 3, second_ms)
+    placement.record_announcement(ADAPTER, 3, second_ms)
     for view in placement.views.values():
-        view.heard_at_ms = second_ms
+        view.received_at_ms = second_ms
     assert _choose(placement, roster, second_ms).send is not None
     later_ms = NOW_MS + placement_lib.OLD_VERSION_MS
     for view in placement.views.values():
-        view.heard_at_ms = later_ms
+        view.received_at_ms = later_ms
     assert _choose(placement, roster, later_ms).send is None
-    # The version between is not over yet.
+    # The grace period of the version between is not over yet.
     placement.views[roster.members["i1"].listing.address].residents[ADAPTER] = 2
     assert _choose(placement, roster, later_ms).send is roster.members["i1"]
 
 
 def test_an_engine_that_is_down_is_no_home() -> None:
-    """Symptom: every new adapter waits for seconds after a crash.
+    """Guards against waits of seconds for each new adapter after a crash.
 
-    Sequence: an engine restarts empty; loads there wait for its base model.
-    Cause: it was the first of the order, and nobody looked what it holds.
+    An engine restarts empty and its loads wait for the base model, but it was
+    chosen as the first of the order without checking what it holds.
     """
     roster = _roster(4)
     placement = _placement(roster)
@@ -163,17 +162,17 @@
     assert _choose(placement, roster).load is not home
 
 
-def test_a_silent_sidecar_is_no_home() -> None:
-    """Its engine may run, but nobody there takes a wish for a load."""
+def test_an_engine_with_a_stale_status_is_no_home() -> None:
+    """Its engine may run, but no sidecar accepts load requests there."""
     roster = _roster(2)
     placement = _placement(roster)
     home = _choose(placement, roster).load
-    placement.views[home.listing.address].heard_at_ms -= 10_000
+    placement.views[home.listing.address].received_at_ms -= 10_000
     assert _choose(placement, roster).load is not home
 
 
-def test_failures_push_work_away_but_never_empty_a_service() -> None:
-    """With every target in doubt, the doubt is about this process."""
+def test_failures_never_make_all_targets_of_a_service_unusable() -> None:
+    """If every target fails, the cause is probably this process."""
     roster = _roster(2)
     for _ in range(4):
         roster.failed("i0", NOW_MS)
@@ -184,8 +183,8 @@
     assert len(roster.usable("llm", NOW_MS)) == 2
 
 
-def test_of_two_entries_at_one_address_the_later_runs() -> None:
-    """Symptom: each send to a restarted target is refused for seconds."""
+def test_the_later_of_two_listings_at_one_address_is_used() -> None:
+    """Guards against rejected sends to a restarted target for seconds."""
     roster = _roster(1)
     old = roster.members["i0"].listing
     roster.upsert(
@@ -203,8 +202,8 @@
     assert [one.listing.instance for one in usable] == ["i9"]
 
 
-def test_entries_that_lapse_in_an_outage_are_kept_for_a_moment() -> None:
-    """And one that does not come back is then given up."""
+def test_entries_that_expire_in_an_outage_are_kept_for_a_grace_period() -> None:
+    """A target that is not listed again is dropped after the grace period."""
     roster = _roster(2)
     roster.outage_ended(NOW_MS, away_ms=4_000)
     assert not roster.remove("i0", NOW_MS + 100)
@@ -214,46 +213,45 @@
     assert roster.remove("i1", NOW_MS + 9_000)
 
 
-def test_a_plain_target_that_leaves_callers_waiting_is_passed_over() -> None:
-    """Symptom: a third of all counter calls run into their time limit.
+def test_a_plain_target_that_does_not_answer_is_avoided() -> None:
+    """Guards against timeouts of a third of all calls to a service.
 
-    Sequence: a target goes dark without a word; its connections stay open.
-    Cause: only an error counted as evidence, and a dark target gives none.
+    A target stops answering while its connections stay open, and only errors
+    counted against a target.
     """
     roster = _roster(3)
     placement = _placement(roster)
-    dark = roster.members["i1"]
-    dark.health.unanswered["request"] = NOW_MS - 600
+    unresponsive = roster.members["i1"]
+    unresponsive.health.unanswered["request"] = NOW_MS - 600
     for _ in range(30):
         usable = roster.usable("llm", NOW_MS)
-        chosen = placement.plain(usable, NOW_MS)
-        assert chosen is not dark
+        chosen = placement.choose_plain(usable, NOW_MS)
+        assert chosen is not unresponsive
 
 
-def test_a_holder_on_a_silent_vm_is_left_for_a_load_elsewhere() -> None:
-    """Symptom: seconds of requests vanish into a frozen VM.
+def test_an_adapter_held_on_a_frozen_vm_is_loaded_elsewhere() -> None:
+    """Guards against seconds of requests lost to a frozen VM.
 
-    Sequence: engine and sidecar freeze together; the engine still stands in
-    the list with its adapters. Cause: what it held was believed for longer
-    than it takes to load the adapter elsewhere.
+    Engine and sidecar freeze together while the engine is still listed with its
+    adapters, and the list was used for longer than a load elsewhere takes.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
-    now_ms = NOW_MS + placement_lib.SILENT_MS + 1
+    now_ms = NOW_MS + placement_lib.STALE_MS + 1
     for address, view in placement.views.items():
         if address != "10.0.0.0:80":
-            view.heard_at_ms = now_ms
+            view.received_at_ms = now_ms
     choice = _choose(placement, roster, now_ms)
     assert choice.send is None
     assert choice.load is not None
     assert choice.load is not roster.members["i0"]
 
 
-def test_an_engine_that_is_told_of_seldom_is_not_silent_in_between() -> None:
-    """Symptom: idle engines pass for frozen, and adapters are fetched twice.
+def test_a_long_update_interval_does_not_make_a_status_stale() -> None:
+    """Guards against fetching adapters twice because idle engines look frozen.
 
-    Sequence: the process beside an engine tells a gateway that does not use
-    it once a second. Cause: 700 ms without a word counted as silence.
+    A sidecar updates an idle gateway once a second, and a status was stale
+    after 700 ms without an update.
     """
     roster = _roster(3)
     placement = _placement(roster, i0={ADAPTER: 1})
@@ -262,14 +260,14 @@
     now_ms = NOW_MS + 1_900
     choice = _choose(placement, roster, now_ms)
     assert choice.send is roster.members["i0"]
-    assert placement.is_heard(roster.members["i0"], now_ms)
-    # Two promised words are missing.
+    assert placement.has_fresh_status(roster.members["i0"], now_ms)
+    # Two updates are missing.
     now_ms = NOW_MS + 2_100
-    assert not placement.is_heard(roster.members["i0"], now_ms)
+    assert not placement.has_fresh_status(roster.members["i0"], now_ms)
 
 
-def test_what_an_engine_held_between_two_words_is_loaded_there_again() -> None:
-    """It takes a tenth of the time there, and no fetch from the store."""
+def test_an_adapter_held_between_two_updates_is_loaded_there_again() -> None:
+    """The load there takes a tenth of the time and needs no fetch."""
     roster = _roster(4)
     placement = _placement(roster)
     first = _choose(placement, roster).load
@@ -278,53 +276,52 @@
     view = placement_lib.View(
         name, NOW_MS, 0, 0, {"base": 1}, frozenset(), recent=(ADAPTER,)
     )
-    placement.hear(address, view)
+    placement.handle_update(address, view)
     assert _choose(placement, roster).load is other
 
 
-def test_an_engine_that_leaves_a_wish_unanswered_is_silent_soon() -> None:
-    """Symptom: callers wait for seconds for a load on a frozen VM.
+def test_an_engine_that_ignores_a_load_request_becomes_stale_soon() -> None:
+    """Guards against waits of seconds for a load on a frozen VM.
 
-    Sequence: a gateway that was told of an engine once a second asks for a load
-    there while its VM stands still. Cause: the engine counted as heard until
-    the promised words were missing; told of a wish, its process answers at
-    the pace of a user.
+    An idle gateway, which gets an update once a second, requests a load at an
+    engine whose VM is paused. The status was fresh until two such updates were
+    missing, although a sidecar answers a load request at the active interval.
     """
     roster = _roster(3)
     placement = _placement(roster)
     member = roster.members["i0"]
     placement.views["10.0.0.0:80"].next_ms = 1_000
-    placement.asked(member, NOW_MS + 100)
-    placement.asked(member, NOW_MS + 500)
-    assert placement.is_heard(member, NOW_MS + 800)
-    assert not placement.is_heard(member, NOW_MS + 801)
-    placement.hear(
+    placement.note_demand_sent(member, NOW_MS + 100)
+    placement.note_demand_sent(member, NOW_MS + 500)
+    assert placement.has_fresh_status(member, NOW_MS + 800)
+    assert not placement.has_fresh_status(member, NOW_MS + 801)
+    placement.handle_update(
         "10.0.0.0:80",
         placement_lib.View("i0", NOW_MS + 802, 0, 0, {}, frozenset()),
     )
-    assert placement.is_heard(member, NOW_MS + 900)
+    assert placement.has_fresh_status(member, NOW_MS + 900)
 
 
-def test_a_named_base_version_keeps_no_request_from_running_engines() -> None:
-    """Symptom: all requests without an adapter are refused for good.
+def test_an_announced_base_version_does_not_block_running_engines() -> None:
+    """Guards against rejecting all requests without an adapter for good.
 
-    Sequence: new weights of the base model are named; engines in place go
-    on with theirs. Cause: the name was taken for a version to wait for.
+    New base weights are announced while running engines keep theirs, and
+    requests waited for the announced version.
     """
     roster = _roster(2)
     placement = _placement(roster)
-    placement.announce("base", 2, NOW_MS)
+    placement.record_announcement("base", 2, NOW_MS)
     usable = roster.usable("llm", NOW_MS)
     late_ms = NOW_MS + 600
     choice = placement.choose("base", usable, late_ms)
     assert choice.send is not None
 
 
-def test_an_adapter_returns_to_where_it_was_held() -> None:
-    """Load pattern: many rare adapters, each asked for now and then.
+def test_an_adapter_is_loaded_again_where_it_was_held() -> None:
+    """Many adapters get rare requests.
 
-    The engine that held it has it in memory; its rendezvous home would fetch
-    it from the weight store.
+    The engine that held an adapter has it in memory, while its rendezvous home
+    would fetch it from the weight store.
     """
     roster = _roster(6)
     placement = _placement(roster)
@@ -335,19 +332,18 @@
     held = view.residents | {ADAPTER: 1}
     name = other.listing.instance
     for residents in (held, view.residents):
-        placement.hear(
+        placement.handle_update(
             address,
             placement_lib.View(name, NOW_MS, 0, 0, residents, frozenset()),
         )
     assert _choose(placement, roster).load is other
 
 
-def test_the_first_engine_back_does_not_get_everything() -> None:
-    """Symptom: ten seconds after a power cut hardly anybody is served.
+def test_the_first_engine_to_restart_is_not_overloaded() -> None:
+    """Guards against serving hardly any request ten seconds after a power cut.
 
-    Sequence: all engines restart; one has its base model before the others,
-    and every adapter is loaded there. Cause: it was the only one able to
-    load, however many requests it had already.
+    All engines restart, and every adapter was loaded at the first one with a
+    base model, whatever its number of requests.
     """
     roster = _roster(4, slots=64)
     placement = _placement(roster)
@@ -362,7 +358,7 @@
 
 
 def test_an_overloaded_holder_takes_no_more() -> None:
-    """Another engine loads the adapter meanwhile; its callers wait for that."""
+    """Its requests wait until another engine has loaded the adapter."""
     roster = _roster(4, slots=64)
     placement = _placement(roster, i0={ADAPTER: 1})
     placement.views["10.0.0.0:80"].running = 70
@@ -372,12 +368,11 @@
     assert choice.load is not roster.members["i0"]
 
 
-def test_requests_that_have_ended_are_no_load() -> None:
-    """Symptom: an idle engine is said to be overloaded.
+def test_ended_requests_do_not_count_as_load() -> None:
+    """Guards against treating an idle engine as overloaded.
 
-    Sequence: hundreds of short requests are sent and answered between two
-    words of its sidecar. Cause: each send since the word was counted as a
-    request that still runs.
+    Hundreds of short requests are answered between two updates of its sidecar,
+    and each send since the update counted as a running request.
     """
     roster = _roster(1, slots=8)
     placement = _placement(roster, i0={ADAPTER: 1})
--- a/tests/stack/test_fair_queue.py
+++ b/tests/stack/test_fair_queue.py
@@ -1,12 +1,12 @@
-"""One customer's flood lengthens its own queue and nobody else's."""
+"""Tests that one customer's flood lengthens only its own queue."""
 
 from radishstack.process import fair_queue
 
 
 def _waiting(
     number: int, customer: str, *, rank: int = 1, share: float = 1.0
-) -> fair_queue.Waiting:
-    return fair_queue.Waiting(
+) -> fair_queue.QueuedAttempt:
+    return fair_queue.QueuedAttempt(
         attempt_id=number.to_bytes(16, "big"),
         customer=customer,
         share=share,
@@ -26,7 +26,7 @@
     return served
 
 
-def test_flood_does_not_starve_a_trickle() -> None:
+def test_one_customers_flood_does_not_starve_another() -> None:
     """Of the first ten turns the small customer gets its five."""
     queue = fair_queue.FairQueue()
     for number in range(100):
@@ -36,8 +36,8 @@
     assert _order(queue)[:10].count("trickle") == 5
 
 
-def test_shares_weigh_the_turns() -> None:
-    """A share of three gets three turns for one."""
+def test_turns_are_proportional_to_shares() -> None:
+    """A share of three gets three turns for each turn of a share of one."""
     queue = fair_queue.FairQueue()
     for number in range(40):
         queue.push(_waiting(number, "small"))
@@ -46,7 +46,7 @@
 
 
 def test_urgent_goes_first_and_background_does_not_starve() -> None:
-    """Classes come first; waiting lifts a class step by step."""
+    """Priority classes come first, and waiting attempts move up in class."""
     queue = fair_queue.FairQueue()
     queue.push(_waiting(1, "a", rank=2))
     queue.push(_waiting(2, "a", rank=0))
@@ -56,8 +56,8 @@
     assert aged.rank == 2 or queue.pop(lambda _: True, 30_000).rank == 2
 
 
-def test_customer_back_from_idleness_starts_level() -> None:
-    """Idle time earns no turns: the others are not starved in return."""
+def test_a_customer_gains_no_turns_from_idle_time() -> None:
+    """Otherwise a customer that was idle would starve the others."""
     queue = fair_queue.FairQueue()
     for number in range(50):
         queue.push(_waiting(number, "busy"))
