--- a/bench/rate_limits.py
+++ b/bench/rate_limits.py
@@ -52,7 +52,7 @@
     del rank, known_count
     per_s = max(limit_per_s, target_rate_limits.MIN_RATE_PER_S)
     depth = target_rate_limits.BASE_DEPTH + target_rate_limits.BURST_S * per_s
-    rate_per_s = target_rate_limits.SENDERS_PART * per_s / gateway_count
+    rate_per_s = target_rate_limits.SENDERS_FRACTION * per_s / gateway_count
     return Bucket(max(1.0, depth / gateway_count), rate_per_s)
 
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -416,7 +416,7 @@
         now_ms = self.fleet.now_ms
         number = next(self.fleet.numbers)
         # A gateway knows nothing of the attempt before.
-        answer_ms = self.roster.usual_latency_ms(SERVICE)
+        answer_ms = self.roster.median_latency_ms(SERVICE)
         due_at_ms = round(now_ms + caller.arrival.kind.objective_ms - answer_ms)
         waiting = waiting_lib.Waiting(
             caller.arrival.adapter,
--- a/packages/radishd/src/radishd/connection/crash_watch.py
+++ b/packages/radishd/src/radishd/connection/crash_watch.py
@@ -59,7 +59,7 @@
         self._log = log
         self._metrics = metrics
         self._on_crash = on_crash
-        self._broken: dict[incarnation.Start, _Broken] = {}
+        self._broken: dict[incarnation.IncarnationId, _Broken] = {}
         self._wake = anyio.Event()
 
     @property
@@ -79,7 +79,8 @@
         """
         listing = member.listing
         broken = self._broken.setdefault(
-            listing.start, _Broken(listing.address, clock.boot_ms(), {})
+            listing.incarnation_id,
+            _Broken(listing.address, clock.boot_ms(), {}),
         )
         broken.suspects[fingerprint] = crash_lib.Suspect(
             fingerprint, began_at_ms
@@ -94,18 +95,20 @@
                 self._wake = anyio.Event()
                 await anyio.sleep(GATHER_MS / MS_PER_S)
                 broken, self._broken = self._broken, {}
-                for start, sends in broken.items():
-                    tasks.start_soon(self._look, start, sends)
+                for incarnation_id, sends in broken.items():
+                    tasks.start_soon(self._look, incarnation_id, sends)
 
-    async def _look(self, start: incarnation.Start, broken: _Broken) -> None:
+    async def _look(
+        self, incarnation_id: incarnation.IncarnationId, broken: _Broken
+    ) -> None:
         reason = await self._why_ended(broken.address)
         ended = bool(reason)
         suspects = tuple(broken.suspects.values())
         self._metrics.crashes.inc({"ended": "yes" if ended else "no"})
         self._log.write(
             "target_broke_off",
-            target=start.name,
-            born_ms=start.born_ms,
+            target=incarnation_id.name,
+            born_ms=incarnation_id.born_ms,
             ended=ended,
             reason=reason or "it can be connected to",
             age_ms=clock.boot_ms() - broken.at_ms,
@@ -113,7 +116,9 @@
             fingerprints=[one.fingerprint for one in suspects[:MAX_LOGGED]],
         )
         if ended:
-            self._on_crash(crash_lib.Crash(start, broken.at_ms, suspects))
+            self._on_crash(
+                crash_lib.Crash(incarnation_id, broken.at_ms, suspects)
+            )
 
     async def _why_ended(self, address: str) -> str:
         """Returns why a target is held to have ended, empty if it is not."""
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -20,9 +20,9 @@
 from radishstack.process import roster as roster_lib
 from radishstack.process import shared_budget
 from radishstack.process import target_rate_limits
-from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
+from radishstack.process import usage_shares
 from radishstack.version import route_table
 
 from radishd import peers as peers_lib
@@ -141,7 +141,7 @@
         self.load_requests = self.sidecars.load_requests
         self.callers = callers_port.CallersPort(self)
         self.usage_caps = usage_caps.UsageCaps(
-            usage_books.Rules(
+            usage_shares.Rules(
                 self.own.usage_window_ms,
                 self.own.usage_overage,
                 self.own.usage_tolerance,
@@ -343,9 +343,9 @@
             self.crash_gossip.sweep()
             self.usage_caps.sweep()
             self.placement.forget(now_ms, FORGET_VIEWS_MS)
-            for name in self.roster.drop_lapsed(now_ms):
+            for name in self.roster.drop_expired(now_ms):
                 self.log.write("target_lapsed", target=name)
-            for member in self.roster.release_restored(now_ms):
+            for member in self.roster.apply_withheld(now_ms):
                 self._start_known(member)
             addresses = {
                 member.listing.address
@@ -360,7 +360,7 @@
         self.pool.drop_all()
         self.store.drop_connections()
         self.placement.views.clear()
-        self.roster.forget_evidence()
+        self.roster.clear_ejections()
         self.crash_gossip.ask_soon()
         for follower in self.knowledge.followers.values():
             follower.restart()
--- a/packages/radishd/src/radishd/process/crash_gossip.py
+++ b/packages/radishd/src/radishd/process/crash_gossip.py
@@ -100,9 +100,9 @@
             if self._judge(record.fingerprint, source=""):
                 self._on_refused(self.evidence.record(record.fingerprint))
 
-    def ended_well(self, fingerprint: str) -> None:
+    def succeeded(self, fingerprint: str) -> None:
         """Records that a request completed without a crash."""
-        record = self.evidence.ended_well(fingerprint, clock.boot_ms())
+        record = self.evidence.succeeded(fingerprint, clock.boot_ms())
         if record is not None:
             self._log.write("suspect_cleared", fingerprint=fingerprint)
             self._tell_soon([record])
@@ -127,7 +127,7 @@
         """
         if fingerprint in self._trials:
             return False
-        if not self.evidence.may_try(
+        if not self.evidence.may_send_trial(
             fingerprint, clock.boot_ms(), self._rank(fingerprint)
         ):
             return False
@@ -179,7 +179,7 @@
         now_ms = clock.boot_ms()
         told = [fleet_wire.record_of(record, now_ms) for record in news.records]
         self.take(told, source=sender[0])
-        unheard = list(filter(None, map(self.evidence.unheard_by, told)))
+        unheard = list(filter(None, map(self.evidence.missed_clearance, told)))
         if unheard:
             self._unheard.setdefault(sender, []).extend(unheard)
             self._wake.set()
--- a/packages/radishd/src/radishd/process/crash_record.py
+++ b/packages/radishd/src/radishd/process/crash_record.py
@@ -40,8 +40,8 @@
     """
     observations = [
         {
-            "target": one.start.name,
-            "born_ms": one.start.born_ms,
+            "target": one.incarnation_id.name,
+            "born_ms": one.incarnation_id.born_ms,
             "began_unix_ms": one.began_at_ms - now_ms + unix_ms,
             "ended_unix_ms": one.ended_at_ms - now_ms + unix_ms,
         }
@@ -72,7 +72,7 @@
         entry.fingerprint,
         tuple(
             crash_evidence.Observation(
-                incarnation.Start(one.target, one.born_ms),
+                incarnation.IncarnationId(one.target, one.born_ms),
                 now_ms - max(0, unix_ms - one.began_unix_ms),
                 now_ms - max(0, unix_ms - one.ended_unix_ms),
             )
--- a/packages/radishd/src/radishd/process/kept_crashes.py
+++ b/packages/radishd/src/radishd/process/kept_crashes.py
@@ -88,7 +88,7 @@
                     reason=record.message,
                 )
                 continue
-            if crash_evidence.is_over(record, now_ms):
+            if crash_evidence.is_expired(record, now_ms):
                 await self._store.delete(crash_record.KIND, stored.name)
                 continue
             records.append(record)
--- a/packages/radishd/src/radishd/process/knowledge.py
+++ b/packages/radishd/src/radishd/process/knowledge.py
@@ -313,7 +313,7 @@
             self._refuse_target(record, f"no service {listing.service!r}")
             return
         known = self._roster.members.get(record.name)
-        lapsed = known is not None and bool(known.lapses_at_ms)
+        lapsed = known is not None and bool(known.expires_at_ms)
         known_listing = known.listing if known is not None else None
         begun = self._roster.upsert(listing)
         if (
@@ -362,7 +362,7 @@
             target=name,
             now=dropped,
             revision=known.listing.changed_at if known else 0,
-            kept_ms=kept.lapses_at_ms - now_ms if kept else 0,
+            kept_ms=kept.expires_at_ms - now_ms if kept else 0,
         )
 
     def _take_version(self, record: stored.Record) -> None:
@@ -465,7 +465,7 @@
         fresh = (
             bool(follower.revision)
             and not follower.failing_since_ms
-            and not self._roster.is_in_doubt(clock.boot_ms())
+            and not self._roster.in_grace_period(clock.boot_ms())
         )
         positions = {kind: self._seen_position(kind) for kind in self.known}
         # The message has one era per kind: a revision of a former era would
--- a/packages/radishd/src/radishd/process/rate_limits.py
+++ b/packages/radishd/src/radishd/process/rate_limits.py
@@ -27,7 +27,7 @@
 # learn the limit from responses.
 MAX_PENDING_REPORTS = 256
 
-Booking = target_rate_limits.Booking
+Reservation = target_rate_limits.Reservation
 Send = Callable[
     [Iterable[fleet_socket.Address], fleet_wire.RateLimitReport],
     Awaitable[None],
@@ -62,7 +62,9 @@
         self._log = log
         self._metrics = metrics
         self._random = random_source
-        self._pending: dict[str, tuple[incarnation.Start, float, int]] = {}
+        self._pending: dict[
+            str, tuple[incarnation.IncarnationId, float, int]
+        ] = {}
         self._wake = anyio.Event()
 
     def record_response(
@@ -81,17 +83,21 @@
             sent_at_ms: When the request was sent.
             attempt_id: The attempt that received the response.
         """
-        start = member.listing.start
+        incarnation_id = member.listing.incarnation_id
         now_ms = clock.boot_ms()
         if not self._limits.record(
-            start, limit_per_s, as_of_ms=sent_at_ms, now_ms=now_ms
+            incarnation_id, limit_per_s, as_of_ms=sent_at_ms, now_ms=now_ms
         ):
             return
         self._record_change(
-            start, limit_per_s, told_by="response", request=attempt_id
+            incarnation_id, limit_per_s, told_by="response", request=attempt_id
         )
         if len(self._pending) < MAX_PENDING_REPORTS:
-            self._pending[start.name] = (start, limit_per_s, now_ms)
+            self._pending[incarnation_id.name] = (
+                incarnation_id,
+                limit_per_s,
+                now_ms,
+            )
             self._wake.set()
 
     def handle(
@@ -101,18 +107,18 @@
         now_ms = clock.boot_ms()
         received_at_ms = now_ms - report.ago_ms
         if self._limits.record(
-            report.start,
+            report.incarnation_id,
             report.limit_per_s,
             as_of_ms=received_at_ms - target_rate_limits.MAX_REORDER_MS,
             now_ms=now_ms,
         ):
             self._record_change(
-                report.start, report.limit_per_s, told_by=sender[0]
+                report.incarnation_id, report.limit_per_s, told_by=sender[0]
             )
 
     def _record_change(
         self,
-        start: incarnation.Start,
+        incarnation_id: incarnation.IncarnationId,
         limit_per_s: float,
         *,
         told_by: str,
@@ -122,7 +128,7 @@
         self._metrics.rate_limited_targets.set({}, len(self._limits))
         self._log.must(
             "target_rate_limit",
-            target=start.name,
+            target=incarnation_id.name,
             limit_per_s=limit_per_s if is_limited else None,
             told_by=told_by,
             request=request,
@@ -134,41 +140,45 @@
             await self._wake.wait()
             self._wake = anyio.Event()
             pending, self._pending = self._pending, {}
-            for start, limit_per_s, at_ms in pending.values():
+            for incarnation_id, limit_per_s, at_ms in pending.values():
                 ago_ms = clock.boot_ms() - at_ms
-                report = fleet_wire.RateLimitReport(start, limit_per_s, ago_ms)
+                report = fleet_wire.RateLimitReport(
+                    incarnation_id, limit_per_s, ago_ms
+                )
                 await self._send(self._others(), report)
 
     def is_limited(self, member: roster_lib.Member) -> bool:
         """Whether a target has a rate limit."""
         return bool(len(self._limits)) and self._limits.is_limited(
-            member.listing.start
+            member.listing.incarnation_id
         )
 
     def may_send(self, member: roster_lib.Member, now_ms: int) -> bool:
         """Whether a request may be sent to a target now."""
         return not len(self._limits) or self._limits.may_send(
-            member.listing.start, now_ms
+            member.listing.incarnation_id, now_ms
         )
 
-    def book(self, member: roster_lib.Member) -> Booking | None:
+    def reserve(self, member: roster_lib.Member) -> Reservation | None:
         """Books a request to a target, None if it may not be sent now."""
-        return self._limits.book(member.listing.start, clock.boot_ms())
+        return self._limits.reserve(
+            member.listing.incarnation_id, clock.boot_ms()
+        )
 
     def is_booked(
-        self, booking: Booking | None, member: roster_lib.Member
+        self, booking: Reservation | None, member: roster_lib.Member
     ) -> bool:
         """Whether a booking is for a target and has not expired."""
         return (
             booking is not None
-            and booking.start == member.listing.start
+            and booking.incarnation_id == member.listing.incarnation_id
             and self._limits.is_valid(booking, clock.boot_ms())
         )
 
-    def give_back(self, booking: Booking | None) -> None:
+    def release(self, booking: Reservation | None) -> None:
         """Gives back a booking whose request was not sent."""
         if booking is not None:
-            self._limits.give_back(booking, clock.boot_ms())
+            self._limits.release(booking, clock.boot_ms())
 
     def rejection(
         self, service: str, members: Iterable[roster_lib.Member]
@@ -182,7 +192,7 @@
         now_ms = clock.boot_ms()
         wait_ms = min(
             (
-                self._limits.wait_ms(member.listing.start, now_ms)
+                self._limits.wait_ms(member.listing.incarnation_id, now_ms)
                 for member in members
             ),
             default=0,
--- a/packages/radishd/src/radishd/process/spread.py
+++ b/packages/radishd/src/radishd/process/spread.py
@@ -72,14 +72,14 @@
 
     def _commit_raised(self, commit: commit_lib.Commit) -> None:
         data = commit_lib.encode_commit(commit)
-        self._feed(dissemination_lib.Raised(commit.version, data))
+        self._feed(dissemination_lib.CommitApplied(commit.version, data))
 
     def _feed(self, event: dissemination_lib.Event) -> None:
         version = self.configuration.held.version
         if version > self.machine.version and not isinstance(
-            event, dissemination_lib.Raised
+            event, dissemination_lib.CommitApplied
         ):
-            jumped = dissemination_lib.Jumped(version)
+            jumped = dissemination_lib.VersionAdvanced(version)
             self.machine.handle(jumped, clock.now_ms())
         self._outbox.extend(self.machine.handle(event, clock.now_ms()))
         self._wake.set()
@@ -87,7 +87,7 @@
     def tell_leaving(self, names: tuple[str, ...]) -> None:
         """Passes on who leaves."""
         if names:
-            self._feed(dissemination_lib.LeavingHeard(names))
+            self._feed(dissemination_lib.DrainingReported(names))
 
     async def hear(
         self,
@@ -104,13 +104,13 @@
             self._heard[sender] = None
             self._set_peers()
         self._feed(
-            dissemination_lib.DigestHeard(
+            dissemination_lib.DigestReceived(
                 sender, body.version, body.reply, body.leaving
             )
         )
         if body.leaving and self.on_leaving is not None:
             self.on_leaving(
-                frozenset(self.machine.leaving_names(clock.now_ms()))
+                frozenset(self.machine.draining_names(clock.now_ms()))
             )
 
     def _take_commit(
@@ -186,7 +186,7 @@
     digest = frame.Digest(
         spread.configuration.held.version,
         action.reply,
-        spread.machine.leaving_names(clock.now_ms()),
+        spread.machine.draining_names(clock.now_ms()),
     )
     await spread.control.send(action.to, 0, digest)
 
--- a/packages/radishd/src/radishd/process/usage_caps.py
+++ b/packages/radishd/src/radishd/process/usage_caps.py
@@ -11,9 +11,9 @@
 import anyio
 import anyio.abc
 from radishstack import result
-from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
+from radishstack.process import usage_shares
 from radishstack.version import client_account
 
 from radishd.process import clock
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        rules: usage_books.Rules,
+        rules: usage_shares.Rules,
         others: Callable[[], Collection[str]],
         gateway_count: Callable[[], int],
         find_cap: FindCap,
@@ -65,7 +65,7 @@
         self._metrics = metrics
         self._random = random_source
         self._forgot_ms = clock.boot_ms()
-        self._books = usage_books.UsageBooks(
+        self._books = usage_shares.UsageShares(
             rules, others, gateway_count, self._forgot_ms, random_source
         )
         self._answered: dict[str, anyio.Event] = {}
@@ -84,7 +84,7 @@
         self,
         account: client_account.ClientAccount | None,
         token_count: int | None,
-    ) -> result.Outcome[usage_books.Booking | None]:
+    ) -> result.Outcome[usage_shares.Reservation | None]:
         """Books a request of an account, or rejects it.
 
         Args:
@@ -100,54 +100,57 @@
         cap, name = account.cap, account.name
         cost = cap.cost(token_count)
         now_ms = clock.boot_ms()
-        booking = self._books.book(name, cap, cost, now_ms)
+        booking = self._books.reserve(name, cap, cost, now_ms)
         if booking is None:
             booking = await self._borrow_and_book(name, cap, cost)
-        elif self._books.wants_ahead(name, cap, now_ms):
+        elif self._books.borrow_ahead_amount(name, cap, now_ms):
             await self._ask(name, 0.0)
         if booking is not None:
             return booking
         return self._reject(name, cap, cost)
 
     def rebook(
-        self, booking: usage_books.Booking | None
-    ) -> result.Outcome[usage_books.Booking | None]:
+        self, booking: usage_shares.Reservation | None
+    ) -> result.Outcome[usage_shares.Reservation | None]:
         """Books a request anew that waited too long since its booking."""
         if booking is None:
             return None
         now_ms = clock.boot_ms()
         age_ms = now_ms - booking.at_ms
-        if not booking.given_back and age_ms <= usage_loan.BOOKING_MS:
+        if not booking.released and age_ms <= usage_loan.RESERVATION_MS:
             return booking
-        self._books.give_back(booking)
+        self._books.release(booking)
         name = booking.account
         cap = self._find_cap(name)
         if cap is None:
             return None
-        renewed = self._books.book(name, cap, booking.cost, now_ms)
+        renewed = self._books.reserve(name, cap, booking.cost, now_ms)
         return renewed or self._reject(name, cap, booking.cost)
 
-    def give_back(self, booking: usage_books.Booking | None) -> None:
+    def release(self, booking: usage_shares.Reservation | None) -> None:
         """Gives a booking back whose request provably did not run."""
         if booking is not None:
-            self._books.give_back(booking)
+            self._books.release(booking)
 
     async def _borrow_and_book(
         self, name: str, cap: usage_cap.UsageCap, cost: float
-    ) -> usage_books.Booking | None:
+    ) -> usage_shares.Reservation | None:
         until_ms = clock.boot_ms() + LOAN_WAIT_MS
         while True:
             now_ms = clock.boot_ms()
-            if self._books.is_shut(name, now_ms) or now_ms >= until_ms:
+            if (
+                self._books.is_borrowing_paused(name, now_ms)
+                or now_ms >= until_ms
+            ):
                 return None
             event = self._answered.setdefault(name, anyio.Event())
             await self._ask(name, self._books.missing(name, cap, cost, now_ms))
-            if self._books.is_shut(name, now_ms):
+            if self._books.is_borrowing_paused(name, now_ms):
                 return None
-            pause_ms = min(usage_books.ANSWER_MS, until_ms - now_ms)
+            pause_ms = min(usage_shares.LOAN_TIMEOUT_MS, until_ms - now_ms)
             with anyio.move_on_after(pause_ms / MS_PER_S):
                 await event.wait()
-            booking = self._books.book(name, cap, cost, clock.boot_ms())
+            booking = self._books.reserve(name, cap, cost, clock.boot_ms())
             if booking is not None:
                 return booking
 
@@ -162,7 +165,7 @@
         self._metrics.usage_refused.inc({})
         room_ms = max(
             RETRY_MIN_MS,
-            self._books.room_after_ms(name, cap, cost, clock.boot_ms()),
+            self._books.refill_wait_ms(name, cap, cost, clock.boot_ms()),
         )
         spread_ms = round(self._random.uniform(0, RETRY_SPREAD_MS))
         return result.Failure(
@@ -178,7 +181,7 @@
         if cap is None:
             return
         now_ms = clock.boot_ms()
-        if isinstance(message, usage_loan.Ask):
+        if isinstance(message, usage_loan.LoanRequest):
             loan = self._books.lend(message, cap, now_ms)
             side = "lent" if loan.amount else "refused"
             self._metrics.usage_loans.inc({"side": side})
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -18,7 +18,7 @@
 from radishstack.process import crash_evidence
 from radishstack.process import placement as placement_lib
 from radishstack.process import roster as roster_lib
-from radishstack.process import usage_books
+from radishstack.process import usage_shares
 from radishstack.request import admission as admission_lib
 from radishstack.request import event_stream
 from radishstack.request import fingerprint as fingerprint_lib
@@ -92,7 +92,7 @@
         body: bytes,
         send: web.Send,
         arrived_at_ms: int,
-        booking: usage_books.Booking | None = None,
+        booking: usage_shares.Reservation | None = None,
     ) -> None:
         """Starts with a request that has been read whole.
 
@@ -128,7 +128,7 @@
         self.sent_at_ms = 0
         self.known_fingerprint = ""
         self.is_trial = False
-        self._rate_booking: rate_limits_lib.Booking | None = None
+        self._rate_booking: rate_limits_lib.Reservation | None = None
         self._send = send
         spec = gateway.table.services.get(self.service)
         self.needs_adapter = bool(
@@ -151,11 +151,11 @@
         """Gives back the bookings of a request that was not sent."""
         self._release_rate_booking()
         if not self.sent:
-            self.gateway.usage_caps.give_back(self._booking)
+            self.gateway.usage_caps.release(self._booking)
 
     def _release_rate_booking(self) -> None:
         booking, self._rate_booking = self._rate_booking, None
-        self.gateway.rate_limits.give_back(booking)
+        self.gateway.rate_limits.release(booking)
 
     def left_ms(self) -> int:
         """Returns how long the caller still waits."""
@@ -207,7 +207,7 @@
         gateway = self.gateway
         gateway.evidence.record_outcome(member, outcome, self.request.adapter)
         if outcome in _NOT_RUN:
-            gateway.usage_caps.give_back(self._booking)
+            gateway.usage_caps.release(self._booking)
         if outcome in _BROKEN_OFF:
             gateway.evidence.record_aborted_response(
                 member, self.fingerprint(), self.sent_at_ms
@@ -276,12 +276,12 @@
         return result.Failure(
             result.REQUEST_ENDS_TARGETS,
             f"targets ended at {quarantine.moments} times under this request",
-            max(quarantine.left_ms, crash_evidence.TRIAL_MS),
+            max(quarantine.left_ms, crash_evidence.TRIAL_DELAY_MS),
         )
 
     def _note_end(self) -> None:
         """Records that a target ran it to its end, and still runs."""
-        self.gateway.crash_gossip.ended_well(self.fingerprint())
+        self.gateway.crash_gossip.succeeded(self.fingerprint())
 
     def _allowed(self, now_ms: int) -> list[roster_lib.Member]:
         """Returns the targets that may run it, regardless of rate limits."""
@@ -322,7 +322,7 @@
         if limits.is_booked(self._rate_booking, member):
             return True
         self._release_rate_booking()
-        self._rate_booking = limits.book(member)
+        self._rate_booking = limits.reserve(member)
         return self._rate_booking is not None
 
     async def _place_adapter(
@@ -382,7 +382,7 @@
         """Returns when it must be sent to be answered in time."""
         if self.began:
             return clock.boot_ms()
-        answer_ms = self.gateway.roster.usual_latency_ms(self.service)
+        answer_ms = self.gateway.roster.median_latency_ms(self.service)
         objective_ms = self.route.objective_ms
         # Where engines answer late in any case, waits are kept short but not
         # all refused.
@@ -692,7 +692,7 @@
             if not piece:
                 return await self._end_stream(send, head)
             now_ms = clock.boot_ms()
-            health.progressed(now_ms - heard_at_ms, now_ms)
+            health.record_progress(now_ms - heard_at_ms, now_ms)
             heard_at_ms = now_ms
             events = self.events.feed(piece)
             if not events:
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -58,7 +58,7 @@
         self.engine = engine_lib.Engine(self.own.engine, settings.name)
         self.socket: fleet_socket.FleetSocket | None = None
         self.audience = audience_lib.Audience()
-        self.incarnations = incarnation.Incarnations()
+        self.incarnations = incarnation.IncarnationTracker()
         self.report: adapter_keeper.Report | None = None
         self.former_born_ms = 0
         self.engine_lost = False
@@ -88,7 +88,7 @@
             now_ms=now_ms,
         )
         known = self.incarnations.current
-        if not self.incarnations.named(demand.instance):
+        if not self.incarnations.select(demand.instance):
             return
         if demand.instance != known:
             self.log.must(
--- a/packages/radishd/src/radishd/sidecar_exchange.py
+++ b/packages/radishd/src/radishd/sidecar_exchange.py
@@ -137,23 +137,27 @@
         spec = self._spec_of(member)
         if spec is None:
             return
-        start = incarnation.Start(datagram.instance, datagram.born_ms)
-        renewed = self._roster.restarted(start, datagram.former_born_ms)
+        incarnation_id = incarnation.IncarnationId(
+            datagram.instance, datagram.born_ms
+        )
+        renewed = self._roster.restarted(
+            incarnation_id, datagram.former_born_ms
+        )
         if renewed is not None:
             member = renewed
             self._log.must(
                 "target_restarted",
-                target=start.name,
-                born_ms=start.born_ms,
+                target=incarnation_id.name,
+                born_ms=incarnation_id.born_ms,
                 former_born_ms=datagram.former_born_ms,
                 told_by="sidecar",
             )
             self._on_incarnation(member)
-        if start.is_other(member.listing.start):
+        if incarnation_id.is_other(member.listing.incarnation_id):
             # An incarnation that is not listed yet.
             return
         if datagram.leaving:
-            self._evidence.mark_leaving(start, source="sidecar")
+            self._evidence.mark_leaving(incarnation_id, source="sidecar")
         before = self._placement.views.get(member.listing.address)
         view = placement_lib.View(
             instance=datagram.instance,
@@ -165,7 +169,7 @@
             own_in_flight=member.health.in_flight,
             load_wait=datagram.load_wait,
             adapter_limit=spec.adapter_limit,
-            born_ms=start.born_ms,
+            born_ms=incarnation_id.born_ms,
             next_ms=datagram.next_ms,
             recent=datagram.recent,
         )
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -395,7 +395,7 @@
 
     async def ask_priors(self, action: event_lib.AskPriors) -> None:
         """Asks former homes about a key and reports their worst answer."""
-        answers: list[ledger_lib.Sealing] = []
+        answers: list[ledger_lib.SealReply] = []
 
         async def ask(name: str) -> None:
             answers.append(await self._ask_prior(name, action.key))
@@ -403,32 +403,32 @@
         async with anyio.create_task_group() as tasks:
             for name in action.targets:
                 tasks.start_soon(ask, name)
-        worst = ledger_lib.Sealing.SEALED
-        if ledger_lib.Sealing.RAN in answers:
-            worst = ledger_lib.Sealing.RAN
-        elif ledger_lib.Sealing.UNKNOWN in answers:
-            worst = ledger_lib.Sealing.UNKNOWN
+        worst = ledger_lib.SealReply.SEALED
+        if ledger_lib.SealReply.RAN in answers:
+            worst = ledger_lib.SealReply.RAN
+        elif ledger_lib.SealReply.UNKNOWN in answers:
+            worst = ledger_lib.SealReply.UNKNOWN
         self.handle(event_lib.PriorsAnswered(action.attempt_id, worst))
 
     async def _ask_prior(
         self, name: str, key: ledger_lib.Key
-    ) -> ledger_lib.Sealing:
+    ) -> ledger_lib.SealReply:
         target = self.configuration.held.document.targets.get(name)
         if target is None:
-            return ledger_lib.Sealing.UNKNOWN
+            return ledger_lib.SealReply.UNKNOWN
         link = await self.links.get(name, target.address)
         if isinstance(link, result.Failure):
-            return ledger_lib.Sealing.UNKNOWN
+            return ledger_lib.SealReply.UNKNOWN
         stream, inbox = link.open()
         try:
             link.send(stream, frame.Seal(*key, self.settings.name))
             with anyio.move_on_after(SEAL_TIMEOUT_MS / MS_PER_S):
                 answer = await inbox.take()
                 if isinstance(answer, frame.Sealed) and answer.answer in (0, 1):
-                    return ledger_lib.Sealing(answer.answer)
+                    return ledger_lib.SealReply(answer.answer)
         finally:
             link.close(stream)
-        return ledger_lib.Sealing.UNKNOWN
+        return ledger_lib.SealReply.UNKNOWN
 
     async def watch_engine(self) -> None:
         """Asks the engine for its state, again and again."""
--- a/packages/radishd/src/radishd/target_evidence.py
+++ b/packages/radishd/src/radishd/target_evidence.py
@@ -74,7 +74,7 @@
         """Records that a target broke off a response, as in a crash."""
         # A leaving target cuts off what it still runs. Counted as crashes,
         # the ends of a release would quarantine slow requests.
-        if self._roster.is_staying(member, clock.boot_ms()):
+        if self._roster.is_active(member, clock.boot_ms()):
             self._crash_watch.broke(member, fingerprint, began_at_ms)
 
     def record_error_response(
@@ -101,28 +101,34 @@
         attempt_id: str,
     ) -> None:
         """Applies what the headers of a response say about its target."""
-        start = member.listing.start
+        incarnation_id = member.listing.incarnation_id
         if signals.leaving:
-            self.mark_leaving(start, source="answer", request=attempt_id)
+            self.mark_leaving(
+                incarnation_id, source="answer", request=attempt_id
+            )
         if signals.backoff_ms:
             self._roster.back_off(member, signals.backoff_ms, clock.boot_ms())
             self._log.write(
                 "target_backoff",
-                target=start.name,
+                target=incarnation_id.name,
                 backoff_ms=signals.backoff_ms,
                 request=attempt_id,
             )
 
     def mark_leaving(
-        self, start: incarnation.Start, *, source: str, request: str = ""
+        self,
+        incarnation_id: incarnation.IncarnationId,
+        *,
+        source: str,
+        request: str = "",
     ) -> None:
         """Marks a target as leaving, so that it gets no new requests."""
-        if not self._roster.leaves(start):
+        if not self._roster.mark_draining(incarnation_id):
             return
         self._log.must(
             "target_said_leaving",
-            target=start.name,
-            born_ms=start.born_ms,
+            target=incarnation_id.name,
+            born_ms=incarnation_id.born_ms,
             told_by=source,
             request=request,
         )
--- a/packages/radishstack/src/radishstack/connection/fleet_wire.py
+++ b/packages/radishstack/src/radishstack/connection/fleet_wire.py
@@ -87,7 +87,7 @@
         ended_ago_ms: How long ago the target ended.
     """
 
-    start: incarnation.Start
+    incarnation_id: incarnation.IncarnationId
     began_ago_ms: int
     ended_ago_ms: int
 
@@ -132,7 +132,7 @@
         ago_ms: How long ago the response was received.
     """
 
-    start: incarnation.Start
+    incarnation_id: incarnation.IncarnationId
     limit_per_s: float
     ago_ms: int
 
@@ -150,7 +150,7 @@
         record.fingerprint,
         tuple(
             ToldObservation(
-                one.start,
+                one.incarnation_id,
                 max(0, now_ms - one.began_at_ms),
                 max(0, now_ms - one.ended_at_ms),
             )
@@ -169,7 +169,9 @@
         told.fingerprint,
         tuple(
             crash_evidence.Observation(
-                one.start, now_ms - one.began_ago_ms, now_ms - one.ended_ago_ms
+                one.incarnation_id,
+                now_ms - one.began_ago_ms,
+                now_ms - one.ended_ago_ms,
             )
             for one in told.observations
         ),
@@ -256,8 +258,8 @@
                 "fingerprint": bytes.fromhex(record.fingerprint),
                 "observations": [
                     {
-                        "target": one.start.name,
-                        "bornMs": one.start.born_ms,
+                        "target": one.incarnation_id.name,
+                        "bornMs": one.incarnation_id.born_ms,
                         "beganAgoMs": one.began_ago_ms,
                         "endedAgoMs": one.ended_ago_ms,
                     }
@@ -277,8 +279,8 @@
 def _(datagram: RateLimitReport) -> bytes:
     is_limited = datagram.limit_per_s != target_rate_limits.UNLIMITED_PER_S
     body = {
-        "target": datagram.start.name,
-        "bornMs": datagram.start.born_ms,
+        "target": datagram.incarnation_id.name,
+        "bornMs": datagram.incarnation_id.born_ms,
         "isLimited": is_limited,
         "limitPerS": datagram.limit_per_s if is_limited else 0.0,
         "agoMs": datagram.ago_ms,
@@ -288,7 +290,7 @@
 
 
 @encode.register
-def _(datagram: usage_loan.Ask) -> bytes:
+def _(datagram: usage_loan.LoanRequest) -> bytes:
     body = dataclasses.asdict(datagram)
     return _wire.FleetDatagram.new_message(usageAsk=body).to_bytes_packed()
 
@@ -407,7 +409,7 @@
             bytes(record.fingerprint).hex(),
             tuple(
                 ToldObservation(
-                    incarnation.Start(one.target, one.bornMs),
+                    incarnation.IncarnationId(one.target, one.bornMs),
                     one.beganAgoMs,
                     one.endedAgoMs,
                 )
@@ -424,12 +426,12 @@
     limit_per_s = target_rate_limits.UNLIMITED_PER_S
     if body.isLimited:
         limit_per_s = _finite_non_negative(body.limitPerS)
-    start = incarnation.Start(body.target, body.bornMs)
-    return RateLimitReport(start, limit_per_s, body.agoMs)
+    incarnation_id = incarnation.IncarnationId(body.target, body.bornMs)
+    return RateLimitReport(incarnation_id, limit_per_s, body.agoMs)
 
 
-def _decode_usage_ask(body: object) -> usage_loan.Ask:
-    return usage_loan.Ask(
+def _decode_usage_ask(body: object) -> usage_loan.LoanRequest:
+    return usage_loan.LoanRequest(
         body.account,
         body.number,
         _finite_non_negative(body.need),
--- a/packages/radishstack/src/radishstack/process/crash.py
+++ b/packages/radishstack/src/radishstack/process/crash.py
@@ -28,6 +28,6 @@
         suspects: The requests of this gateway that it was running.
     """
 
-    start: incarnation.Start
+    incarnation_id: incarnation.IncarnationId
     at_ms: int
     suspects: tuple[Suspect, ...]
--- a/packages/radishstack/src/radishstack/process/crash_evidence.py
+++ b/packages/radishstack/src/radishstack/process/crash_evidence.py
@@ -19,23 +19,23 @@
 # A request is held to end targets once so many ended under it, at moments
 # apart, and at least so many of the sends came after the one before had ended
 # its target. One cut of power ends many targets, but at one moment.
-MIN_MOMENTS = 3
-MIN_IN_TURN = 2
+MIN_CRASHES = 3
+MIN_CONSECUTIVE = 2
 # What ends targets never ends well. A request that did so lately stands at a
 # crash by chance, as one of the popular ones always does, unless targets go on
 # ending under it: a new version may have made it one.
-SERVED_LATELY_MS = 60_000
-MIN_MOMENTS_SERVED = 10
-MAX_SERVED = 4_096
+RECENT_SUCCESS_MS = 60_000
+MIN_CRASHES_IF_SERVED = 10
+MAX_SUCCESSES = 4_096
 # Crashes within this time count as one, if the request was sent before the
 # first: a cut of power, or a rack that fails.
-SAME_MOMENT_MS = 250
+SIMULTANEOUS_MS = 250
 # Where another request was at the last crash and at as many before, either
 # may be the one: one more crash tells them apart, or both are refused.
-AMBIGUOUS_EXTRA = 1
+AMBIGUOUS_EXTRA_CRASHES = 1
 # Word of a crash comes some milliseconds after it, so a request that is sent
 # again at once seems to have been sent before.
-WORD_MS = 25
+REPORT_LAG_MS = 25
 # For how long it is refused before one is tried: an innocent one is back after
 # minutes, and one that goes on ending targets ends three more in its first day.
 QUARANTINE_MS = 5 * 60_000
@@ -43,12 +43,12 @@
 # The same where others that recur stood at the crashes, but for fewer than so
 # many: while several requests end targets, a popular one stands beside them
 # each time, and refused everywhere it cannot end well.
-TRIAL_MS = 10_000
-MIN_ALONE = 2
+TRIAL_DELAY_MS = 10_000
+MIN_CRASHES_ALONE = 2
 # How long after its last crash a request is under suspicion; one crash alone
 # says little, and a site has some each hour.
-SINGLE_KEPT_MS = 3_600_000
-SEVERAL_KEPT_MS = 24 * 3_600_000
+SINGLE_CRASH_RETENTION_MS = 3_600_000
+REPEATED_CRASH_RETENTION_MS = 24 * 3_600_000
 MAX_RECORDS = 2_048
 MAX_OBSERVATIONS = 16
 # Before all times: clocks count from a VM's start, and a crash that is told of
@@ -66,7 +66,7 @@
         ended_at_ms: When the target ended.
     """
 
-    start: incarnation.Start
+    incarnation_id: incarnation.IncarnationId
     began_at_ms: int
     ended_at_ms: int
 
@@ -111,13 +111,15 @@
     def __init__(self) -> None:
         """Starts with none."""
         self._records: dict[str, Record] = {}
-        self._at: dict[incarnation.Start, set[str]] = {}
-        self._served_at_ms: dict[str, int] = {}
+        self._suspects_by_incarnation: dict[
+            incarnation.IncarnationId, set[str]
+        ] = {}
+        self._succeeded_at_ms: dict[str, int] = {}
 
     @property
-    def served_count(self) -> int:
+    def success_count(self) -> int:
         """How many requests are remembered that ended well."""
-        return len(self._served_at_ms)
+        return len(self._succeeded_at_ms)
 
     def __len__(self) -> int:
         """How many requests are under suspicion."""
@@ -132,30 +134,34 @@
         records = [
             Record(
                 one.fingerprint,
-                (Observation(crash.start, one.began_at_ms, crash.at_ms),),
+                (
+                    Observation(
+                        crash.incarnation_id, one.began_at_ms, crash.at_ms
+                    ),
+                ),
             )
             for one in crash.suspects
         ]
-        told = []
+        report = []
         for record in records:
             self.take(record)
             cleared_at_ms = self._records[record.fingerprint].cleared_at_ms
-            told.append(
+            report.append(
                 dataclasses.replace(record, cleared_at_ms=cleared_at_ms)
             )
-        return told
+        return report
 
-    def ended_well(self, fingerprint: str, now_ms: int) -> Record | None:
+    def succeeded(self, fingerprint: str, now_ms: int) -> Record | None:
         """Records that a request completed without a crash.
 
         Returns:
             What to tell others, None if it was under no suspicion.
         """
         # The one that ended well last goes last: the oldest is dropped.
-        self._served_at_ms.pop(fingerprint, None)
-        self._served_at_ms[fingerprint] = now_ms
-        if len(self._served_at_ms) > MAX_SERVED:
-            del self._served_at_ms[next(iter(self._served_at_ms))]
+        self._succeeded_at_ms.pop(fingerprint, None)
+        self._succeeded_at_ms[fingerprint] = now_ms
+        if len(self._succeeded_at_ms) > MAX_SUCCESSES:
+            del self._succeeded_at_ms[next(iter(self._succeeded_at_ms))]
         known = self._records.get(fingerprint)
         if known is None or not known.observations:
             return None
@@ -169,87 +175,101 @@
         if known is None:
             if not record.observations:
                 return False
-            self._make_room()
-            served_at_ms = self._served_at_ms.get(record.fingerprint, NEVER_MS)
+            self._evict_if_full()
+            served_at_ms = self._succeeded_at_ms.get(
+                record.fingerprint, NEVER_MS
+            )
             known = Record(record.fingerprint, (), served_at_ms)
-        joined = _join(known, record)
-        if joined == self._records.get(record.fingerprint):
+        merged = _merge(known, record)
+        if merged == self._records.get(record.fingerprint):
             return False
-        self._forget_one(record.fingerprint)
-        self._records[record.fingerprint] = joined
-        for observation in joined.observations:
-            at = self._at.setdefault(observation.start, set())
-            at.add(record.fingerprint)
+        self._remove(record.fingerprint)
+        self._records[record.fingerprint] = merged
+        for observation in merged.observations:
+            suspects = self._suspects_by_incarnation.setdefault(
+                observation.incarnation_id, set()
+            )
+            suspects.add(record.fingerprint)
         return True
 
-    def unheard_by(self, told: Record) -> Record | None:
+    def missed_clearance(self, report: Record) -> Record | None:
         """Returns what who told a record has not heard, if anything.
 
         What cleared a request leaves nothing to pass on, and who refuses it
         never sees it end well: a lost word would be lost for good.
         """
-        known = self._records.get(told.fingerprint)
-        if known is None or not told.observations:
+        known = self._records.get(report.fingerprint)
+        if known is None or not report.observations:
             return None
         cleared_at_ms = known.cleared_at_ms
-        if told.cleared_at_ms >= cleared_at_ms:
+        if report.cleared_at_ms >= cleared_at_ms:
             return None
         # A later crash that it tells of says nothing of what it has heard.
-        missed = told.observations[0].ended_at_ms <= cleared_at_ms
-        knows_served = _was_served_lately(told)
-        informed = dataclasses.replace(told, cleared_at_ms=cleared_at_ms)
-        if missed or (_was_served_lately(informed) and not knows_served):
-            return Record(told.fingerprint, (), cleared_at_ms)
+        missed = report.observations[0].ended_at_ms <= cleared_at_ms
+        knows_of_success = _succeeded_recently(report)
+        with_clearance = dataclasses.replace(
+            report, cleared_at_ms=cleared_at_ms
+        )
+        if missed or (
+            _succeeded_recently(with_clearance) and not knows_of_success
+        ):
+            return Record(report.fingerprint, (), cleared_at_ms)
         return None
 
-    def _make_room(self) -> None:
+    def _evict_if_full(self) -> None:
         if len(self._records) < MAX_RECORDS:
             return
-        by_weight = sorted(self._records.values(), key=_weight)
-        for record in by_weight[: MAX_RECORDS // 4]:
-            self._forget_one(record.fingerprint)
+        by_priority = sorted(self._records.values(), key=_retention_priority)
+        for record in by_priority[: MAX_RECORDS // 4]:
+            self._remove(record.fingerprint)
 
-    def _forget_one(self, fingerprint: str) -> None:
+    def _remove(self, fingerprint: str) -> None:
         record = self._records.pop(fingerprint, None)
         if record is None:
             return
         for observation in record.observations:
-            at = self._at[observation.start]
-            at.discard(fingerprint)
-            if not at:
-                del self._at[observation.start]
+            suspects = self._suspects_by_incarnation[observation.incarnation_id]
+            suspects.discard(fingerprint)
+            if not suspects:
+                del self._suspects_by_incarnation[observation.incarnation_id]
 
     def quarantine(self, fingerprint: str, now_ms: int) -> Quarantine | None:
         """Says whether a request is to be refused, None if it is not."""
         record = self._records.get(fingerprint)
         if record is None or not record.observations:
             return None
-        moments = _moments(record)
-        more = AMBIGUOUS_EXTRA if self._is_ambiguous(record, moments) else 0
-        if _was_served_lately(record):
-            more = MIN_MOMENTS_SERVED - MIN_MOMENTS
+        crash_count = _count_crashes(record)
+        extra = (
+            AMBIGUOUS_EXTRA_CRASHES
+            if self._is_ambiguous(record, crash_count)
+            else 0
+        )
+        if _succeeded_recently(record):
+            extra = MIN_CRASHES_IF_SERVED - MIN_CRASHES
         if (
-            moments < MIN_MOMENTS + more
-            or _in_turn(record) < MIN_IN_TURN + more
+            crash_count < MIN_CRASHES + extra
+            or _count_consecutive(record) < MIN_CONSECUTIVE + extra
         ):
             return None
         last_at_ms = record.observations[-1].ended_at_ms
-        until_ms = last_at_ms + self._lasts_ms(record, moments - more)
+        until_ms = last_at_ms + self._quarantine_duration_ms(
+            record, crash_count - extra
+        )
         left_ms = max(0, until_ms - now_ms)
-        return Quarantine(moments, last_at_ms, until_ms, left_ms)
+        return Quarantine(crash_count, last_at_ms, until_ms, left_ms)
 
-    def _lasts_ms(self, record: Record, moments: int) -> int:
+    def _quarantine_duration_ms(self, record: Record, crash_count: int) -> int:
         """Returns how long after the last crash one is to be tried."""
         alone = [
             observation
             for observation in record.observations
-            if self._was_alone(record.fingerprint, observation.start)
+            if self._was_alone(record.fingerprint, observation.incarnation_id)
         ]
-        if len(alone) < MIN_ALONE:
-            return TRIAL_MS
-        return QUARANTINE_MS * QUARANTINE_GROWTH ** (moments - MIN_MOMENTS)
+        if len(alone) < MIN_CRASHES_ALONE:
+            return TRIAL_DELAY_MS
+        return QUARANTINE_MS * QUARANTINE_GROWTH ** (crash_count - MIN_CRASHES)
 
-    def may_try(self, fingerprint: str, now_ms: int, rank: int) -> bool:
+    def may_send_trial(self, fingerprint: str, now_ms: int, rank: int) -> bool:
         """Whether a gateway may send a request that is refused, to try it.
 
         Let through everywhere at once, a popular one would end a target for
@@ -264,20 +284,26 @@
         quarantine = self.quarantine(fingerprint, now_ms)
         if quarantine is None:
             return False
-        return now_ms >= quarantine.until_ms + rank * TRIAL_MS
+        return now_ms >= quarantine.until_ms + rank * TRIAL_DELAY_MS
 
-    def _was_alone(self, fingerprint: str, start: incarnation.Start) -> bool:
+    def _was_alone(
+        self, fingerprint: str, incarnation_id: incarnation.IncarnationId
+    ) -> bool:
         """Whether no other request that recurs was at a crash."""
-        others = self._at.get(start, set()) - {fingerprint}
+        others = self._suspects_by_incarnation.get(incarnation_id, set()) - {
+            fingerprint
+        }
         return not any(
             len(self._records[other].observations) > 1 for other in others
         )
 
-    def _is_ambiguous(self, record: Record, moments: int) -> bool:
+    def _is_ambiguous(self, record: Record, crash_count: int) -> bool:
         """Whether another request was there as often as this one."""
-        others = self._at.get(record.observations[-1].start, set())
+        others = self._suspects_by_incarnation.get(
+            record.observations[-1].incarnation_id, set()
+        )
         return any(
-            _moments(self._records[other]) >= moments
+            _count_crashes(self._records[other]) >= crash_count
             for other in others - {record.fingerprint}
         )
 
@@ -300,14 +326,16 @@
     def forget(self, now_ms: int) -> None:
         """Drops what is too old to count."""
         for record in list(self._records.values()):
-            if is_over(record, now_ms):
-                self._forget_one(record.fingerprint)
+            if is_expired(record, now_ms):
+                self._remove(record.fingerprint)
 
 
-def is_over(record: Record, now_ms: int) -> bool:
+def is_expired(record: Record, now_ms: int) -> bool:
     """Whether a record is too old to count."""
     kept_ms = (
-        SEVERAL_KEPT_MS if len(record.observations) > 1 else SINGLE_KEPT_MS
+        REPEATED_CRASH_RETENTION_MS
+        if len(record.observations) > 1
+        else SINGLE_CRASH_RETENTION_MS
     )
     return now_ms - _last_ms(record) > kept_ms
 
@@ -319,42 +347,43 @@
     return max(last_ms, record.cleared_at_ms)
 
 
-def _weight(record: Record) -> tuple[int, int]:
+def _retention_priority(record: Record) -> tuple[int, int]:
     """Orders records by what they tell: crashes, then how late the last was."""
     return len(record.observations), _last_ms(record)
 
 
-def _join(one: Record, other: Record) -> Record:
-    by_start = {
-        observation.start: observation for observation in one.observations
+def _merge(one: Record, other: Record) -> Record:
+    by_incarnation = {
+        observation.incarnation_id: observation
+        for observation in one.observations
     }
     for observation in other.observations:
-        known = by_start.get(observation.start, observation)
+        known = by_incarnation.get(observation.incarnation_id, observation)
         # Word of it comes late, so the earliest is nearest to the truth.
-        by_start[observation.start] = min(
+        by_incarnation[observation.incarnation_id] = min(
             known, observation, key=lambda seen: seen.ended_at_ms
         )
     cleared_at_ms = max(one.cleared_at_ms, other.cleared_at_ms)
-    counted = sorted(
+    relevant = sorted(
         (
             observation
-            for observation in by_start.values()
+            for observation in by_incarnation.values()
             if observation.ended_at_ms > cleared_at_ms
         ),
-        key=lambda seen: (seen.ended_at_ms, seen.start.name),
+        key=lambda seen: (seen.ended_at_ms, seen.incarnation_id.name),
     )
     return Record(
-        one.fingerprint, tuple(counted[-MAX_OBSERVATIONS:]), cleared_at_ms
+        one.fingerprint, tuple(relevant[-MAX_OBSERVATIONS:]), cleared_at_ms
     )
 
 
-def _was_served_lately(record: Record) -> bool:
+def _succeeded_recently(record: Record) -> bool:
     """Whether an equal request ended well shortly before the first crash."""
     first_ms = record.observations[0].ended_at_ms
-    return first_ms - record.cleared_at_ms <= SERVED_LATELY_MS
+    return first_ms - record.cleared_at_ms <= RECENT_SUCCESS_MS
 
 
-def _moments(record: Record) -> int:
+def _count_crashes(record: Record) -> int:
     """Counts the crashes of a record, those of one moment once.
 
     A request that was sent after a crash cannot be a victim of the same cut.
@@ -362,19 +391,19 @@
     count = 0
     at_ms = NEVER_MS
     for observation in record.observations:
-        later = observation.ended_at_ms > at_ms + SAME_MOMENT_MS
-        if later or observation.began_at_ms >= at_ms - WORD_MS:
+        later = observation.ended_at_ms > at_ms + SIMULTANEOUS_MS
+        if later or observation.began_at_ms >= at_ms - REPORT_LAG_MS:
             count += 1
             at_ms = observation.ended_at_ms
     return count
 
 
-def _in_turn(record: Record) -> int:
+def _count_consecutive(record: Record) -> int:
     """Counts sends that each began after the one before had crashed."""
     count = 0
-    free_at_ms = NEVER_MS
+    earliest_send_ms = NEVER_MS
     for observation in record.observations:
-        if observation.began_at_ms >= free_at_ms:
+        if observation.began_at_ms >= earliest_send_ms:
             count += 1
-            free_at_ms = observation.ended_at_ms - WORD_MS
+            earliest_send_ms = observation.ended_at_ms - REPORT_LAG_MS
     return count
--- a/packages/radishstack/src/radishstack/process/dissemination.py
+++ b/packages/radishstack/src/radishstack/process/dissemination.py
@@ -13,7 +13,7 @@
 import random
 
 Address = tuple[str, int]
-MAX_LEAVING = 32
+MAX_DRAINING_NAMES = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,11 +33,11 @@
     kept_commits: int = 256
     max_commit_bytes: int = 1_200
     max_pushes: int = 8
-    leaving_ms: int = 30_000
+    draining_ms: int = 30_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Raised:
+class CommitApplied:
     """A commit came into force here.
 
     Attributes:
@@ -50,24 +50,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Jumped:
+class VersionAdvanced:
     """A version came into force here without its commits."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DigestHeard:
+class DigestReceived:
     """A peer told which version it holds, and who leaves."""
 
     sender: Address
     version: int
     reply: bool
-    leaving: tuple[str, ...]
+    draining: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeavingHeard:
+class DrainingReported:
     """The platform, or the target itself, says that targets leave."""
 
     names: tuple[str, ...]
@@ -78,7 +78,13 @@
     """A second has passed."""
 
 
-Event = Raised | Jumped | DigestHeard | LeavingHeard | RoundDue
+Event = (
+    CommitApplied
+    | VersionAdvanced
+    | DigestReceived
+    | DrainingReported
+    | RoundDue
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -128,7 +134,7 @@
         self.version = 0
         self.peers: Sequence[Address] = ()
         self.commits: dict[int, bytes] = {}
-        self.leaving: dict[str, int] = {}
+        self.draining: dict[str, int] = {}
         self._random = random_source
 
     def handle(self, event: Event, now_ms: int) -> Actions:
@@ -143,17 +149,17 @@
         """
         return _handle(event, self, now_ms)
 
-    def leaving_names(self, now_ms: int) -> tuple[str, ...]:
+    def draining_names(self, now_ms: int) -> tuple[str, ...]:
         """Returns the targets that were lately said to leave."""
-        oldest_ms = now_ms - self.settings.leaving_ms
-        self.leaving = {
+        oldest_ms = now_ms - self.settings.draining_ms
+        self.draining = {
             name: at_ms
-            for name, at_ms in self.leaving.items()
+            for name, at_ms in self.draining.items()
             if at_ms >= oldest_ms
         }
-        return tuple(sorted(self.leaving))[:MAX_LEAVING]
+        return tuple(sorted(self.draining))[:MAX_DRAINING_NAMES]
 
-    def pick(self, count: int) -> list[Address]:
+    def pick_peers(self, count: int) -> list[Address]:
         """Picks random peers."""
         if not self.peers:
             return []
@@ -181,8 +187,8 @@
 
 
 @_handle.register
-def _raised(
-    event: Raised, dissemination: Dissemination, now_ms: int
+def _commit_applied(
+    event: CommitApplied, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     del now_ms
     version, data = event.version, event.data
@@ -193,7 +199,7 @@
         # Too large for a datagram: tell the version, peers read the store.
         return [
             SendDigest(peer, False)
-            for peer in dissemination.pick(dissemination.settings.fanout)
+            for peer in dissemination.pick_peers(dissemination.settings.fanout)
         ]
     dissemination.commits[version] = data
     dissemination.commits.pop(
@@ -201,13 +207,13 @@
     )
     return [
         PushCommit(peer, data)
-        for peer in dissemination.pick(dissemination.settings.fanout)
+        for peer in dissemination.pick_peers(dissemination.settings.fanout)
     ]
 
 
 @_handle.register
-def _jumped(
-    event: Jumped, dissemination: Dissemination, now_ms: int
+def _version_advanced(
+    event: VersionAdvanced, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     del now_ms
     if event.version > dissemination.version:
@@ -217,11 +223,11 @@
 
 
 @_handle.register
-def _digest_heard(
-    event: DigestHeard, dissemination: Dissemination, now_ms: int
+def _digest_received(
+    event: DigestReceived, dissemination: Dissemination, now_ms: int
 ) -> Actions:
-    for name in event.leaving:
-        dissemination.leaving.setdefault(name, now_ms)
+    for name in event.draining:
+        dissemination.draining.setdefault(name, now_ms)
     if event.version < dissemination.version:
         pushes = dissemination.pushes(event.sender, event.version)
         if pushes or event.reply:
@@ -236,11 +242,11 @@
 
 
 @_handle.register
-def _leaving_heard(
-    event: LeavingHeard, dissemination: Dissemination, now_ms: int
+def _draining_reported(
+    event: DrainingReported, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     for name in event.names:
-        dissemination.leaving[name] = now_ms
+        dissemination.draining[name] = now_ms
     return []
 
 
@@ -249,4 +255,4 @@
     event: RoundDue, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     del event, now_ms
-    return [SendDigest(peer, False) for peer in dissemination.pick(1)]
+    return [SendDigest(peer, False) for peer in dissemination.pick_peers(1)]
--- a/packages/radishstack/src/radishstack/process/incarnation.py
+++ b/packages/radishstack/src/radishstack/process/incarnation.py
@@ -8,13 +8,13 @@
 import dataclasses
 
 
-def are_other_births(one_ms: int, other_ms: int) -> bool:
+def start_times_differ(one_ms: int, other_ms: int) -> bool:
     """Whether two births are told and differ."""
     return bool(one_ms and other_ms) and one_ms != other_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class IncarnationId:
     """One start of a target: a target may start again under its name.
 
     Attributes:
@@ -27,14 +27,14 @@
     name: str
     born_ms: int = 0
 
-    def is_other(self, other: "Start") -> bool:
+    def is_other(self, other: "IncarnationId") -> bool:
         """Whether another start is meant, as far as births are told."""
         if self.name != other.name:
             return True
-        return are_other_births(self.born_ms, other.born_ms)
+        return start_times_differ(self.born_ms, other.born_ms)
 
 
-class Incarnations:
+class IncarnationTracker:
     """The starts of one engine."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self.current = ""
         self._ended: set[str] = set()
 
-    def named(self, instance: str) -> bool:
+    def select(self, instance: str) -> bool:
         """Records the incarnation that a gateway names.
 
         Args:
--- a/packages/radishstack/src/radishstack/process/ledger.py
+++ b/packages/radishstack/src/radishstack/process/ledger.py
@@ -12,7 +12,7 @@
 from radishstack import result
 
 MAX_RECORDS = 100_000
-SEAL_EXTRA_MS = 600_000
+SEAL_EXTRA_RETENTION_MS = 600_000
 
 Key = tuple[str, str]
 
@@ -28,7 +28,7 @@
     SEALED = "sealed"
 
 
-class Sealing(enum.IntEnum):
+class SealReply(enum.IntEnum):
     """The answer to a seal request; the number goes on the wire."""
 
     SEALED = 0
@@ -72,15 +72,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judgement:
+class Decision:
     """A verdict with the record it rests on."""
 
     verdict: Verdict
     record: Record | None = None
 
 
-_AT_REST = (KeyState.ENDED, KeyState.REFUSED, KeyState.SEALED)
-_MAY_CLAIM = (KeyState.REFUSED, KeyState.SEALED)
+_EXPIRABLE_STATES = (KeyState.ENDED, KeyState.REFUSED, KeyState.SEALED)
+_CLAIMABLE_STATES = (KeyState.REFUSED, KeyState.SEALED)
 
 
 class Ledger:
@@ -102,9 +102,9 @@
         self.records: dict[Key, Record] = {}
         self._starts: dict[Key, int] = {}
 
-    def judge(
+    def decide(
         self, key: Key, *, digest: bytes, accepted_at_ms: int, now_ms: int
-    ) -> Judgement:
+    ) -> Decision:
         """Decides on a submission, without changing anything.
 
         Args:
@@ -119,21 +119,21 @@
         record = self.records.get(key)
         if record is None:
             if now_ms < self.quarantine_until_ms:
-                return Judgement(Verdict.QUARANTINED)
+                return Decision(Verdict.QUARANTINED)
             if len(self.records) >= self.max_records:
-                return Judgement(Verdict.FULL)
-            return Judgement(Verdict.CLAIM)
+                return Decision(Verdict.FULL)
+            return Decision(Verdict.CLAIM)
         if record.state is KeyState.SEALED:
-            return Judgement(Verdict.CLAIM, record)
+            return Decision(Verdict.CLAIM, record)
         if record.state is KeyState.REFUSED:
             # A caller was told that the key did not run. A copy that was
             # accepted before that, and arrives late, would make it a lie.
             if accepted_at_ms <= record.at_ms:
-                return Judgement(Verdict.LATE, record)
-            return Judgement(Verdict.CLAIM, record)
+                return Decision(Verdict.LATE, record)
+            return Decision(Verdict.CLAIM, record)
         if record.digest != digest:
-            return Judgement(Verdict.REUSED, record)
-        return Judgement(Verdict.JOIN, record)
+            return Decision(Verdict.REUSED, record)
+        return Decision(Verdict.JOIN, record)
 
     def claim(
         self,
@@ -147,9 +147,9 @@
     ) -> None:
         """Gives a key to an attempt, asking or queued."""
         record = self.records.get(key)
-        own = record is not None and record.attempt_id == attempt_id
+        is_owner = record is not None and record.attempt_id == attempt_id
         invariant.require(
-            record is None or own or record.state in _MAY_CLAIM,
+            record is None or is_owner or record.state in _CLAIMABLE_STATES,
             result.DISPATCHED_TWICE,
             f"claim of {key} in state {record.state if record else None}",
         )
@@ -233,7 +233,7 @@
 
     def seal(
         self, key: Key, *, asker: str, window_ms: int, now_ms: int
-    ) -> Sealing:
+    ) -> SealReply:
         """Answers a new home that wants to run a key.
 
         Once this says ``SEALED`` the key cannot start here before the asker
@@ -250,22 +250,22 @@
         """
         record = self.records.get(key)
         if record is None and now_ms < self.quarantine_until_ms:
-            return Sealing.UNKNOWN
+            return SealReply.UNKNOWN
         if record is not None:
             if record.state in (KeyState.STARTED, KeyState.ENDED):
-                return Sealing.RAN
+                return SealReply.RAN
             if record.state in (KeyState.ASKING, KeyState.QUEUED):
-                return Sealing.UNKNOWN
+                return SealReply.UNKNOWN
         sealed_for = {asker, *(record.sealed_for if record else ())}
         self.records[key] = Record(
             KeyState.SEALED,
             b"",
             b"",
             now_ms,
-            keep_until_ms=now_ms + window_ms + SEAL_EXTRA_MS,
+            keep_until_ms=now_ms + window_ms + SEAL_EXTRA_RETENTION_MS,
             sealed_for=tuple(sorted(sealed_for)),
         )
-        return Sealing.SEALED
+        return SealReply.SEALED
 
     def expire(self, now_ms: int) -> list[bytes]:
         """Forgets keys at rest whose time is over.
@@ -273,12 +273,13 @@
         Returns:
             The attempts whose kept answers may go with them.
         """
-        over = [
+        expired = [
             (key, record)
             for key, record in self.records.items()
-            if record.state in _AT_REST and record.keep_until_ms <= now_ms
+            if record.state in _EXPIRABLE_STATES
+            and record.keep_until_ms <= now_ms
         ]
-        for key, _ in over:
+        for key, _ in expired:
             del self.records[key]
             self._starts.pop(key, None)
-        return [record.attempt_id for _, record in over if record.attempt_id]
+        return [record.attempt_id for _, record in expired if record.attempt_id]
--- a/packages/radishstack/src/radishstack/process/placement.py
+++ b/packages/radishstack/src/radishstack/process/placement.py
@@ -112,9 +112,9 @@
     recent: tuple[str, ...] = ()
 
     @property
-    def start(self) -> incarnation.Start:
+    def incarnation_id(self) -> incarnation.IncarnationId:
         """The start of the engine that it spoke of."""
-        return incarnation.Start(self.instance, self.born_ms)
+        return incarnation.IncarnationId(self.instance, self.born_ms)
 
     def is_silent(self, now_ms: int) -> bool:
         """Whether its next word is overdue.
@@ -233,7 +233,9 @@
     def hear(self, address: str, view: View) -> None:
         """Applies a sidecar's status update, keyed by the target's address."""
         before = self.views.get(address)
-        if before is None or before.start.is_other(view.start):
+        if before is None or before.incarnation_id.is_other(
+            view.incarnation_id
+        ):
             self.warm[address] = {}
         self.views[address] = view
         warm = self.warm[address]
@@ -272,7 +274,7 @@
         view = self.views.get(listing.address)
         if view is None or view.instance != listing.instance:
             return None
-        if incarnation.are_other_births(view.born_ms, listing.born_ms):
+        if incarnation.start_times_differ(view.born_ms, listing.born_ms):
             return None
         return view
 
@@ -333,8 +335,10 @@
         # the estimate of what runs is too rough to tell a full batch.
         queued += max(0, health.in_flight - slots)
         load_ms += QUEUED_COST_MS * queued
-        silent_ms = health.silent_ms(now_ms) - ENGINE_PATIENCE_MS
-        return load_ms + SILENCE_WEIGHT * max(0, silent_ms)
+        first_byte_wait_ms = (
+            health.first_byte_wait_ms(now_ms) - ENGINE_PATIENCE_MS
+        )
+        return load_ms + SILENCE_WEIGHT * max(0, first_byte_wait_ms)
 
     def cost_ms(self, member: roster_lib.Member, now_ms: int) -> float:
         """Estimates how much later than at an idle target a request starts."""
@@ -366,8 +370,10 @@
             slots = max(1, member.listing.slot_count)
             cost_ms = latency_ms * (1 + health.in_flight / slots)
             cost_ms += FAILURE_COST_MS * health.failure_share
-            silent_ms = health.silent_ms(now_ms) - PLAIN_PATIENCE_MS
-            cost_ms += SILENCE_WEIGHT * max(0, silent_ms)
+            first_byte_wait_ms = (
+                health.first_byte_wait_ms(now_ms) - PLAIN_PATIENCE_MS
+            )
+            cost_ms += SILENCE_WEIGHT * max(0, first_byte_wait_ms)
             cost_ms *= self._random.uniform(0.9, 1.1)
             if best is None or cost_ms < best_ms:
                 best, best_ms = member, cost_ms
--- a/packages/radishstack/src/radishstack/process/roster.py
+++ b/packages/radishstack/src/radishstack/process/roster.py
@@ -14,33 +14,33 @@
 # Failure estimate: weight of the newest outcome. With 0.25, three failures in
 # a row pass ``SICK_ABOVE`` and five good answers bring it back under.
 FAILURE_WEIGHT = 0.25
-SICK_ABOVE = 0.5
+UNHEALTHY_FAILURE_SHARE = 0.5
 # A target that could not be reached is left alone this long, doubling up to
 # the maximum: a restarted engine is back within seconds.
-EJECT_FIRST_MS = 300
-EJECT_MAX_MS = 2_400
+EJECTION_BASE_MS = 300
+EJECTION_MAX_MS = 2_400
 MAX_EJECTIONS = 8
 # Intervals without a renewal that an entry of the list outlives at least from
 # the beginning of an outage: it is kept for three, and was renewed up to one
 # before. The half is for renewals that come late.
-OUTLIVED_HEARTBEATS = 1.5
+MIN_TTL_HEARTBEATS = 1.5
 # Latency estimate: weight of the newest answer.
 LATENCY_WEIGHT = 0.2
 # What is left of the longest pause of a target's streams with each event that
 # comes sooner: a pause counts for some fifty events, a second or two.
-PAUSE_KEPT = 0.98
+STALL_DECAY = 0.98
 # Births of former starts that are remembered for one name: old news is some
 # seconds old, in which a target restarts a few times at most.
-MAX_FORMER = 8
+MAX_FORMER_INCARNATIONS = 8
 # Starts that said that they leave, of which that is remembered: their entries
 # lapse and come back, with a state that was written before.
-MAX_LEAVERS = 1_024
+MAX_REMEMBERED_TARGETS = 1_024
 # How long a removed target is remembered: a list restored from an older copy
 # may still hold its entry.
 REMOVED_RETENTION_MS = 30_000
 # The longest rest that a target is given. Garbage in its place would take the
 # target from this process until it starts again.
-MAX_REST_MS = 600_000
+MAX_BACKOFF_MS = 600_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -92,9 +92,9 @@
         return self.era > known.era and self.changed_at <= known.changed_at
 
     @property
-    def start(self) -> incarnation.Start:
+    def incarnation_id(self) -> incarnation.IncarnationId:
         """The start of the target that this tells of."""
-        return incarnation.Start(self.instance, self.born_ms)
+        return incarnation.IncarnationId(self.instance, self.born_ms)
 
 
 @dataclasses.dataclass(slots=True)
@@ -123,12 +123,12 @@
     progressed_at_ms: int = 0
     backoff_until_ms: int = 0
 
-    def progressed(self, pause_ms: int, now_ms: int) -> None:
+    def record_progress(self, pause_ms: int, now_ms: int) -> None:
         """Notes an event of a stream, so long after the one before."""
-        self.pause_ms = max(pause_ms, PAUSE_KEPT * self.pause_ms)
+        self.pause_ms = max(pause_ms, STALL_DECAY * self.pause_ms)
         self.progressed_at_ms = now_ms
 
-    def silent_ms(self, now_ms: int) -> int:
+    def first_byte_wait_ms(self, now_ms: int) -> int:
         """Returns how long the oldest request waits for a first byte."""
         if not self.unanswered:
             return 0
@@ -169,7 +169,7 @@
 
     listing: Listing
     health: Health
-    lapses_at_ms: int = 0
+    expires_at_ms: int = 0
     gone: bool = False
     began_at: store_position.StorePosition = store_position.StorePosition()
     former: tuple[int, ...] = ()
@@ -192,11 +192,11 @@
         self.members: dict[str, Member] = {}
         self._by_service: dict[str, list[Member]] = {}
         self._lapse_grace_ms = lapse_grace_ms
-        self._outlived_ms = OUTLIVED_HEARTBEATS * heartbeat_ms
+        self._min_ttl_ms = MIN_TTL_HEARTBEATS * heartbeat_ms
         self._grace_end_ms = 0
         self._outage_position = store_position.StorePosition()
         self._removed: dict[str, _RemovedTarget] = {}
-        self._leavers: dict[str, incarnation.Start] = {}
+        self._draining: dict[str, incarnation.IncarnationId] = {}
 
     def _index(self) -> None:
         by_service: dict[str, list[Member]] = {}
@@ -218,7 +218,7 @@
         Returns:
             Whether entries may have lapsed in it.
         """
-        if away_ms < self._outlived_ms:
+        if away_ms < self._min_ttl_ms:
             return False
         self.begin_grace(now_ms)
         return True
@@ -239,17 +239,17 @@
             default=store_position.StorePosition(),
         )
 
-    def is_in_doubt(self, now_ms: int) -> bool:
+    def in_grace_period(self, now_ms: int) -> bool:
         """Whether an entry may be missing only because it has lapsed."""
         return now_ms < self._grace_end_ms
 
-    def _may_have_lapsed(self, listing: Listing, now_ms: int) -> bool:
+    def _may_have_expired(self, listing: Listing, now_ms: int) -> bool:
         # An entry that was written since the outage is renewed like any
         # other: missing again, its target has left, and work sent to it
         # would reach a process that is about to end.
         written_since = listing.changed_position > self._outage_position
         return (
-            self.is_in_doubt(now_ms)
+            self.in_grace_period(now_ms)
             and not listing.leaving
             and not written_since
         )
@@ -264,12 +264,12 @@
         if member is None:
             if self._withhold_if_removed(listing):
                 return None
-            return self._begin(listing, listing.listed_position)
+            return self._replace_member(listing, listing.listed_position)
         known = member.listing
         older = listing.changed_position < known.changed_position
         if older or listing.born_ms in member.former:
             return None
-        is_other = listing.start.is_other(known.start)
+        is_other = listing.incarnation_id.is_other(known.incarnation_id)
         if is_other and listing.may_predate(known):
             member.withheld = listing
             return None
@@ -278,7 +278,9 @@
             # A start that only the process beside it told may be the later
             # one: counted as over, it would stay so when the list tells it.
             ended = (known.born_ms,) if member.listed else ()
-            return self._begin(listing, listing.changed_position, ended)
+            return self._replace_member(
+                listing, listing.changed_position, ended
+            )
         born_ms = listing.born_ms or known.born_ms
         leaving = listing.leaving or (
             known.leaving and listing.may_predate(known)
@@ -286,11 +288,11 @@
         member.listing = dataclasses.replace(
             listing, born_ms=born_ms, leaving=leaving
         )
-        member.lapses_at_ms = 0
+        member.expires_at_ms = 0
         member.listed = True
         if (listing.service, listing.address) != (known.service, known.address):
             self._index()
-            self._claim_address(member)
+            self._mark_address_conflicts(member)
         return None
 
     def _withhold_if_removed(self, listing: Listing) -> bool:
@@ -303,15 +305,15 @@
         if removed is None:
             return False
         known = removed.listing
-        if listing.start.is_other(known.start) or not listing.may_predate(
-            known
-        ):
+        if listing.incarnation_id.is_other(
+            known.incarnation_id
+        ) or not listing.may_predate(known):
             del self._removed[listing.instance]
             return False
         removed.withheld = listing
         return True
 
-    def release_restored(self, now_ms: int) -> list[Member]:
+    def apply_withheld(self, now_ms: int) -> list[Member]:
         """Applies withheld entries that no later entry has contradicted.
 
         Args:
@@ -320,27 +322,29 @@
         Returns:
             Members of the starts that were not known.
         """
-        begun = []
+        new_members = []
         for member in list(self.members.values()):
             listing = member.withheld
-            if listing is not None and not self.is_in_doubt(now_ms):
+            if listing is not None and not self.in_grace_period(now_ms):
                 # The known start is not proven to be over, so it does not
                 # become a former one.
-                begun.append(self._begin(listing, listing.changed_position))
+                new_members.append(
+                    self._replace_member(listing, listing.changed_position)
+                )
         expired = [
             name
             for name, removed in self._removed.items()
             if now_ms >= removed.expires_at_ms
         ]
         withheld = [self._removed.pop(name).withheld for name in expired]
-        begun += [
-            self._begin(listing, listing.listed_position)
+        new_members += [
+            self._replace_member(listing, listing.listed_position)
             for listing in withheld
             if listing is not None
         ]
-        return begun
+        return new_members
 
-    def _begin(
+    def _replace_member(
         self,
         listing: Listing,
         began_at: store_position.StorePosition,
@@ -349,14 +353,14 @@
         """Replaces what is known of a name, with all that was seen of it."""
         before = self.members.get(listing.instance)
         known = before.former if before is not None else ()
-        former = (*known, *ended)[-MAX_FORMER:]
+        former = (*known, *ended)[-MAX_FORMER_INCARNATIONS:]
         member = Member(listing, Health(), began_at=began_at, former=former)
         self.members[listing.instance] = member
         self._index()
-        self._claim_address(member)
+        self._mark_address_conflicts(member)
         return member
 
-    def _claim_address(self, member: Member) -> None:
+    def _mark_address_conflicts(self, member: Member) -> None:
         # A target that restarted is listed beside its former start until
         # that entry expires; sent there, requests would only be refused.
         address = member.listing.address
@@ -367,7 +371,7 @@
             older.gone = True
 
     def restarted(
-        self, start: incarnation.Start, former_born_ms: int
+        self, incarnation_id: incarnation.IncarnationId, former_born_ms: int
     ) -> Member | None:
         """Records that one incarnation of a target followed another.
 
@@ -376,23 +380,25 @@
         seconds tells of one that may itself be over.
 
         Args:
-            start: The start that runs.
+            incarnation_id: The incarnation that runs.
             former_born_ms: Birth of the one before it, 0 if none was seen.
 
         Returns:
             The member of the new start, None if nothing follows from it.
         """
-        member = self.members.get(start.name)
+        member = self.members.get(incarnation_id.name)
         if member is None or not former_born_ms:
             return None
         if former_born_ms != member.listing.born_ms:
             return None
-        if start.born_ms in (0, former_born_ms, *member.former):
+        if incarnation_id.born_ms in (0, former_born_ms, *member.former):
             return None
         listing = dataclasses.replace(
-            member.listing, born_ms=start.born_ms, residents={}
+            member.listing, born_ms=incarnation_id.born_ms, residents={}
+        )
+        renewed = self._replace_member(
+            listing, member.began_at, (former_born_ms,)
         )
-        renewed = self._begin(listing, member.began_at, (former_born_ms,))
         renewed.listed = False
         return renewed
 
@@ -418,34 +424,34 @@
             if instance in self._removed:
                 self._removed[instance].withheld = None
             return False
-        if self._may_have_lapsed(member.listing, now_ms):
-            member.lapses_at_ms = self._grace_end_ms
+        if self._may_have_expired(member.listing, now_ms):
+            member.expires_at_ms = self._grace_end_ms
             return False
         self._removed.pop(instance, None)
-        while len(self._removed) >= MAX_LEAVERS:
+        while len(self._removed) >= MAX_REMEMBERED_TARGETS:
             del self._removed[next(iter(self._removed))]
         expires_at_ms = now_ms + REMOVED_RETENTION_MS
         self._removed[instance] = _RemovedTarget(member.listing, expires_at_ms)
         return self.drop(instance)
 
-    def drop_lapsed(self, now_ms: int) -> list[str]:
+    def drop_expired(self, now_ms: int) -> list[str]:
         """Drops entries whose grace has passed."""
-        lapsed = [
+        expired = [
             name
             for name, member in self.members.items()
-            if member.lapses_at_ms and now_ms >= member.lapses_at_ms
+            if member.expires_at_ms and now_ms >= member.expires_at_ms
         ]
-        for name in lapsed:
+        for name in expired:
             del self.members[name]
-        if lapsed:
+        if expired:
             self._index()
-        return lapsed
+        return expired
 
     def of_service(self, service: str) -> list[Member]:
         """Returns the members of a service, leaving ones included."""
         return self._by_service.get(service, [])
 
-    def usual_latency_ms(self, service: str) -> float:
+    def median_latency_ms(self, service: str) -> float:
         """Returns the time to a first byte at the middle target."""
         known = sorted(
             member.health.latency_ms
@@ -460,42 +466,42 @@
         Ejection never empties a service: with every target in doubt, the
         doubt is more likely about this process or its links.
         """
-        staying = [
+        active = [
             member
-            for member in self._staying(service, now_ms)
+            for member in self._active_members(service, now_ms)
             if member.health.backoff_until_ms <= now_ms
         ]
-        trusted = [
+        healthy = [
             member
-            for member in staying
+            for member in active
             if member.health.ejected_until_ms <= now_ms
         ]
-        return trusted or staying
+        return healthy or active
 
-    def _staying(self, service: str, now_ms: int) -> list[Member]:
+    def _active_members(self, service: str, now_ms: int) -> list[Member]:
         return [
             member
             for member in self.of_service(service)
-            if self._stays(member, now_ms)
+            if self._is_active(member, now_ms)
         ]
 
-    def _stays(self, member: Member, now_ms: int) -> bool:
+    def _is_active(self, member: Member, now_ms: int) -> bool:
         return (
             not member.listing.leaving
-            and not self.said_to_leave(member.listing.start)
+            and not self.is_draining(member.listing.incarnation_id)
             and not member.gone
-            and not 0 < member.lapses_at_ms <= now_ms
+            and not 0 < member.expires_at_ms <= now_ms
         )
 
-    def is_staying(self, member: Member, now_ms: int) -> bool:
+    def is_active(self, member: Member, now_ms: int) -> bool:
         """Whether a member runs and is not known to leave."""
-        return self.is_current(member) and self._stays(member, now_ms)
+        return self.is_current(member) and self._is_active(member, now_ms)
 
     def backoff_ms(self, service: str, now_ms: int) -> int:
         """Returns for how long all targets of a service want no work."""
         ends_ms = [
             member.health.backoff_until_ms
-            for member in self._staying(service, now_ms)
+            for member in self._active_members(service, now_ms)
         ]
         return max(0, min(ends_ms, default=0) - now_ms)
 
@@ -505,28 +511,31 @@
         It is kept even where no other target is left: work sent all the same
         is turned away, and delays the target's return.
         """
-        until_ms = now_ms + min(backoff_ms, MAX_REST_MS)
+        until_ms = now_ms + min(backoff_ms, MAX_BACKOFF_MS)
         health = member.health
         health.backoff_until_ms = max(health.backoff_until_ms, until_ms)
 
-    def leaves(self, start: incarnation.Start) -> bool:
+    def mark_draining(self, incarnation_id: incarnation.IncarnationId) -> bool:
         """Records that an incarnation leaves; returns whether it is new.
 
         Kept apart from what the list says, which is written by others and
         later: in an outage it would bring the target back.
         """
-        if self.said_to_leave(start):
+        if self.is_draining(incarnation_id):
             return False
-        self._leavers.pop(start.name, None)
-        while len(self._leavers) >= MAX_LEAVERS:
-            del self._leavers[next(iter(self._leavers))]
-        self._leavers[start.name] = start
+        self._draining.pop(incarnation_id.name, None)
+        while len(self._draining) >= MAX_REMEMBERED_TARGETS:
+            del self._draining[next(iter(self._draining))]
+        self._draining[incarnation_id.name] = incarnation_id
         return True
 
-    def said_to_leave(self, start: incarnation.Start) -> bool:
+    def is_draining(self, incarnation_id: incarnation.IncarnationId) -> bool:
         """Whether this very start said that it leaves."""
-        said = self._leavers.get(start.name)
-        return said is not None and not said.is_other(start)
+        draining_incarnation = self._draining.get(incarnation_id.name)
+        return (
+            draining_incarnation is not None
+            and not draining_incarnation.is_other(incarnation_id)
+        )
 
     def unreachable(self, instance: str, now_ms: int) -> None:
         """Notes that a target could not be reached, and leaves it alone."""
@@ -539,9 +548,11 @@
     def _eject(self, health: Health, now_ms: int) -> None:
         if health.ejected_until_ms > now_ms:
             return
-        pause_ms = min(EJECT_FIRST_MS * 2**health.ejections, EJECT_MAX_MS)
+        ejection_ms = min(
+            EJECTION_BASE_MS * 2**health.ejections, EJECTION_MAX_MS
+        )
         health.ejections = min(health.ejections + 1, MAX_EJECTIONS)
-        health.ejected_until_ms = now_ms + pause_ms
+        health.ejected_until_ms = now_ms + ejection_ms
 
     def failed(self, instance: str, now_ms: int) -> None:
         """Notes a failure of a target."""
@@ -550,7 +561,7 @@
             return
         health = member.health
         health.failure_share += FAILURE_WEIGHT * (1 - health.failure_share)
-        if health.failure_share > SICK_ABOVE:
+        if health.failure_share > UNHEALTHY_FAILURE_SHARE:
             self._eject(health, now_ms)
 
     def answered(self, instance: str, took_ms: float) -> None:
@@ -570,7 +581,7 @@
         if member is not None:
             member.gone = True
 
-    def forget_evidence(self) -> None:
+    def clear_ejections(self) -> None:
         """Drops what was seen before this process stood still."""
         for member in self.members.values():
             member.health.ejected_until_ms = 0
--- a/packages/radishstack/src/radishstack/process/target_rate_limits.py
+++ b/packages/radishstack/src/radishstack/process/target_rate_limits.py
@@ -21,7 +21,7 @@
 MS_PER_S = 1_000
 UNLIMITED_PER_S = math.inf
 # Part of the rate for the selected gateways; the rest is for probes.
-SENDERS_PART = 0.9
+SENDERS_FRACTION = 0.9
 # The total depth of all token buckets is BASE_DEPTH requests plus BURST_S
 # seconds of the rate. Each bucket holds at least one request, so the total
 # depth also bounds the number of selected gateways.
@@ -31,7 +31,7 @@
 # limit has ended.
 MIN_RATE_PER_S = 0.25
 # Validity of a booking; leaves time for an adapter to load.
-BOOKING_MS = 500
+RESERVATION_MS = 500
 # A probe that finds no request within this time after it is due is rescheduled.
 PROBE_WINDOW_MS = 500
 # Lifetime of the cached selection of gateways.
@@ -39,13 +39,13 @@
 # Tolerance for reports from other gateways that are received out of order.
 MAX_REORDER_MS = 50
 # Minimum relative change of a limit that is reported to other gateways.
-MIN_REPORTED_CHANGE_PART = 0.1
+MIN_REPORTED_CHANGE_FRACTION = 0.1
 # Maximum number of targets whose limit is tracked.
 MAX_LIMITS = 8_192
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Booking:
+class Reservation:
     """A request that counts against the rate limit of a target.
 
     Attributes:
@@ -53,7 +53,7 @@
         at_ms: When the request was booked.
     """
 
-    start: incarnation.Start
+    incarnation_id: incarnation.IncarnationId
     at_ms: int
 
 
@@ -86,7 +86,7 @@
         selected_at_ms: When ``bucket`` was computed, None if it is outdated.
     """
 
-    start: incarnation.Start
+    incarnation_id: incarnation.IncarnationId
     per_s: float
     reported_per_s: float
     advertised_at_ms: int
@@ -119,7 +119,7 @@
     selected_count = sender_count * known_count // gateway_count
     if rank >= selected_count:
         return None
-    return Bucket(depth / sender_count, SENDERS_PART * per_s / sender_count)
+    return Bucket(depth / sender_count, SENDERS_FRACTION * per_s / sender_count)
 
 
 class TargetRateLimits:
@@ -150,19 +150,19 @@
         """Returns the number of rate-limited targets."""
         return len(self._limits)
 
-    def is_limited(self, start: incarnation.Start) -> bool:
+    def is_limited(self, incarnation_id: incarnation.IncarnationId) -> bool:
         """Whether a target has a rate limit."""
-        return self._find(start) is not None
+        return self._find(incarnation_id) is not None
 
-    def _find(self, start: incarnation.Start) -> _Limit | None:
-        limit = self._limits.get(start.name)
-        if limit is None or limit.start.is_other(start):
+    def _find(self, incarnation_id: incarnation.IncarnationId) -> _Limit | None:
+        limit = self._limits.get(incarnation_id.name)
+        if limit is None or limit.incarnation_id.is_other(incarnation_id):
             return None
         return limit
 
     def record(
         self,
-        start: incarnation.Start,
+        incarnation_id: incarnation.IncarnationId,
         limit_per_s: float,
         *,
         as_of_ms: int,
@@ -171,7 +171,7 @@
         """Records the rate limit of a response, or its absence.
 
         Args:
-            start: The start of the target that responded.
+            incarnation_id: The incarnation of the target that responded.
             limit_per_s: The limit, ``UNLIMITED_PER_S`` for none.
             as_of_ms: Lower bound of the time of the response, for example when
                 its request was sent. Responses can arrive out of order, so
@@ -182,14 +182,14 @@
         Returns:
             Whether the change must be reported to other gateways.
         """
-        known = self._find(start)
+        known = self._find(incarnation_id)
         if limit_per_s == UNLIMITED_PER_S:
             if known is None or as_of_ms <= known.advertised_at_ms:
                 return False
-            del self._limits[start.name]
+            del self._limits[incarnation_id.name]
             return True
         if known is None:
-            self._add(start, limit_per_s, now_ms)
+            self._add(incarnation_id, limit_per_s, now_ms)
             return True
         known.advertised_at_ms = now_ms
         if known.per_s != limit_per_s:
@@ -197,24 +197,27 @@
             known.per_s = limit_per_s
             known.selected_at_ms = None
         change_per_s = abs(limit_per_s - known.reported_per_s)
-        if change_per_s <= MIN_REPORTED_CHANGE_PART * known.reported_per_s:
+        if change_per_s <= MIN_REPORTED_CHANGE_FRACTION * known.reported_per_s:
             return False
         known.reported_per_s = limit_per_s
         return True
 
     def _add(
-        self, start: incarnation.Start, limit_per_s: float, now_ms: int
+        self,
+        incarnation_id: incarnation.IncarnationId,
+        limit_per_s: float,
+        now_ms: int,
     ) -> None:
-        self._limits.pop(start.name, None)
+        self._limits.pop(incarnation_id.name, None)
         while len(self._limits) >= MAX_LIMITS:
             del self._limits[next(iter(self._limits))]
         # The bucket starts empty because requests that were sent before the
         # limit was known also count against it.
         limit = _Limit(
-            start, limit_per_s, limit_per_s, now_ms, 0.0, now_ms, 0.0
+            incarnation_id, limit_per_s, limit_per_s, now_ms, 0.0, now_ms, 0.0
         )
-        limit.probe_at_ms = now_ms + self._probe_pause_ms(limit)
-        self._limits[start.name] = limit
+        limit.probe_at_ms = now_ms + self._probe_delay_ms(limit)
+        self._limits[incarnation_id.name] = limit
 
     def _select(self, limit: _Limit, now_ms: int) -> Bucket | None:
         """Returns this gateway's bucket, None if it is not selected."""
@@ -225,7 +228,7 @@
         ):
             return limit.bucket
         names = {self._own_name, *self._others()}
-        order = rendezvous.order(limit.start.name, names)
+        order = rendezvous.order(limit.incarnation_id.name, names)
         limit.bucket = sender_bucket(
             limit.per_s,
             order.index(self._own_name),
@@ -245,10 +248,10 @@
         gained = bucket.per_s * gained_ms / MS_PER_S
         limit.level = min(bucket.depth, limit.level + gained)
 
-    def _probe_pause_ms(self, limit: _Limit) -> float:
+    def _probe_delay_ms(self, limit: _Limit) -> float:
         """Returns a random time until this gateway's next probe."""
         gateway_count = max(1, self._gateway_count())
-        per_s = max(limit.per_s, MIN_RATE_PER_S) * (1 - SENDERS_PART)
+        per_s = max(limit.per_s, MIN_RATE_PER_S) * (1 - SENDERS_FRACTION)
         rate_per_ms = per_s / gateway_count / MS_PER_S
         return self._random.expovariate(rate_per_ms)
 
@@ -259,12 +262,14 @@
             return True
         # Reschedules overdue probes so that gateways that were idle do not send
         # them all at the same time.
-        limit.probe_at_ms = now_ms + self._probe_pause_ms(limit)
+        limit.probe_at_ms = now_ms + self._probe_delay_ms(limit)
         return False
 
-    def may_send(self, start: incarnation.Start, now_ms: int) -> bool:
+    def may_send(
+        self, incarnation_id: incarnation.IncarnationId, now_ms: int
+    ) -> bool:
         """Whether a request may be sent to a target now."""
-        limit = self._find(start)
+        limit = self._find(incarnation_id)
         if limit is None:
             return True
         self._fill(limit, now_ms)
@@ -272,34 +277,38 @@
             return self._is_probe_due(limit, now_ms)
         return limit.level >= 1
 
-    def book(self, start: incarnation.Start, now_ms: int) -> Booking | None:
+    def reserve(
+        self, incarnation_id: incarnation.IncarnationId, now_ms: int
+    ) -> Reservation | None:
         """Books a request to a target, None if it may not be sent now."""
-        if not self.may_send(start, now_ms):
+        if not self.may_send(incarnation_id, now_ms):
             return None
-        limit = self._find(start)
+        limit = self._find(incarnation_id)
         if limit is not None and limit.bucket is None:
-            limit.probe_at_ms = now_ms + self._probe_pause_ms(limit)
+            limit.probe_at_ms = now_ms + self._probe_delay_ms(limit)
         elif limit is not None:
             limit.level -= 1
-        return Booking(start, now_ms)
+        return Reservation(incarnation_id, now_ms)
 
     @staticmethod
-    def is_valid(booking: Booking, now_ms: int) -> bool:
+    def is_valid(reservation: Reservation, now_ms: int) -> bool:
         """Whether a booking has not expired."""
-        return now_ms - booking.at_ms <= BOOKING_MS
+        return now_ms - reservation.at_ms <= RESERVATION_MS
 
-    def give_back(self, booking: Booking, now_ms: int) -> None:
+    def release(self, reservation: Reservation, now_ms: int) -> None:
         """Gives back a booking whose request was not sent."""
-        limit = self._find(booking.start)
-        if limit is None or not self.is_valid(booking, now_ms):
+        limit = self._find(reservation.incarnation_id)
+        if limit is None or not self.is_valid(reservation, now_ms):
             return
         self._fill(limit, now_ms)
         if limit.bucket is not None:
             limit.level = min(limit.bucket.depth, limit.level + 1)
 
-    def wait_ms(self, start: incarnation.Start, now_ms: int) -> int:
+    def wait_ms(
+        self, incarnation_id: incarnation.IncarnationId, now_ms: int
+    ) -> int:
         """Estimates the time until some gateway may send to a target."""
-        limit = self._find(start)
+        limit = self._find(incarnation_id)
         if limit is None:
             return 0
         self._fill(limit, now_ms)
--- a/packages/radishstack/src/radishstack/process/usage_loan.py
+++ b/packages/radishstack/src/radishstack/process/usage_loan.py
@@ -6,13 +6,13 @@
 LOAN_TERM_MS = 700
 # A booking pays for a send within this time; a request that waits longer is
 # booked anew.
-BOOKING_MS = 200
+RESERVATION_MS = 200
 # How long a loan can be booked, counted from the ask.
-USABLE_MS = LOAN_TERM_MS - BOOKING_MS
+LOAN_USABLE_MS = LOAN_TERM_MS - RESERVATION_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class LoanRequest:
     """A gateway asks another one for a part of its part of a cap.
 
     Attributes:
@@ -47,4 +47,4 @@
     room: float
 
 
-Message = Ask | Loan
+Message = LoanRequest | Loan
--- a/packages/radishstack/src/radishstack/process/usage_books.py
+++ b/packages/radishstack/src/radishstack/process/usage_shares.py
@@ -23,36 +23,36 @@
 MS_PER_S = 1_000
 # Part of the allowed overshoot that buckets may use; the rest is left for
 # gateways that are not known yet.
-OVERSHOOT_PART = 0.9
+OVERSHOOT_FRACTION = 0.9
 # Part of a window's limit that a bucket holds at least.
-MIN_DEPTH_PART = 0.1
+MIN_DEPTH_FRACTION = 0.1
 # Part of a cap's burst that its bucket gains within a window, beside the rate.
-BURST_GAINED_PART = 0.75
+BURST_REFILL_FRACTION = 0.75
 # Others that are asked at once: as many as would pay for the request out of
 # full parts, within these bounds.
-MIN_ASKED_AT_ONCE = 2
-MAX_ASKED_AT_ONCE = 16
+MIN_LENDERS_PER_ROUND = 2
+MAX_LENDERS_PER_ROUND = 16
 # After so many asks in a row that brought nothing, requests are rejected.
-MAX_ASKED_IN_VAIN = 6
+MAX_FAILED_LOAN_REQUESTS = 6
 # An ask without an answer is given up after this time.
-ANSWER_MS = 40
+LOAN_TIMEOUT_MS = 40
 # After a round in vain nobody is asked for the same account for a while.
-SHUT_MS = 200
+BORROWING_PAUSE_MS = 200
 # What another gateway said of its room is believed for this time.
-HINT_MS = 500
+SPARE_CAPACITY_TTL_MS = 500
 # A gateway that did not answer is asked last for a while.
-SILENT_MS = 2_000
+UNRESPONSIVE_MS = 2_000
 # The use of this time is expected to go on.
-RECENT_MS = 1_000
+RECENT_USE_MS = 1_000
 # What a gateway expects to use in this time it borrows ahead, or keeps from
 # lending.
-AHEAD_MS = 300
-KEPT_MS = 1_000
+BORROW_AHEAD_MS = 300
+WITHHELD_MS = 1_000
 # Part of its full part that a gateway keeps from lending at most. Where parts
 # are smaller than a request, only what is lent is of use.
-MAX_KEPT_PART = 0.25
+MAX_WITHHELD_FRACTION = 0.25
 # Part of its room that a gateway lends ahead of the asker's need.
-AHEAD_PART = 0.25
+LEND_AHEAD_FRACTION = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -90,17 +90,17 @@
         """
         limit = cap.limit(self.window_ms)
         overshoot = self.overage * limit + self.tolerance
-        whole = limit + OVERSHOOT_PART * overshoot
+        whole = limit + OVERSHOOT_FRACTION * overshoot
         span_ms = self.window_ms + usage_loan.LOAN_TERM_MS
-        least_depth = MIN_DEPTH_PART * limit
+        min_depth = MIN_DEPTH_FRACTION * limit
         gained = cap.rate_per_s * self.window_ms / MS_PER_S
-        gained += BURST_GAINED_PART * cap.burst
-        per_ms = min(gained / self.window_ms, (whole - least_depth) / span_ms)
+        gained += BURST_REFILL_FRACTION * cap.burst
+        per_ms = min(gained / self.window_ms, (whole - min_depth) / span_ms)
         return Bucket(whole - per_ms * span_ms, per_ms)
 
 
 @dataclasses.dataclass(slots=True)
-class Booking:
+class Reservation:
     """The cost of one request, booked at a moment.
 
     Attributes:
@@ -115,19 +115,19 @@
     cost: float
     at_ms: int
     own: float
-    given_back: bool = False
+    released: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class _Borrowed:
+class _BorrowedAmount:
     """What is left of a loan."""
 
-    left: float
+    remaining: float
     until_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Asked:
+class _PendingRequest:
     """An ask that is not answered yet."""
 
     lender: str
@@ -135,32 +135,32 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Hint:
+class _SpareCapacity:
     """What another gateway said of its room."""
 
-    room: float
+    amount: float
     at_ms: int
 
 
-class _Books:
+class _AccountState:
     """The books of one account."""
 
     def __init__(self, cap: usage_cap.UsageCap, window_ms: int) -> None:
         self.cap = cap
         # What is left of this gateway's part of the bucket, and as of when.
         self.level = 0.0
-        self.filled_ms: int | None = None
+        self.filled_at_ms: int | None = None
         self.sent = sliding_sum.SlidingSum(window_ms)
-        self.recent = sliding_sum.SlidingSum(RECENT_MS)
-        self.borrowed: list[_Borrowed] = []
-        self.asked: dict[int, _Asked] = {}
-        self.hints: dict[str, _Hint] = {}
-        self.round_count = 0
-        self.shut_until_ms = 0
-        self.used_ms = 0
+        self.recent = sliding_sum.SlidingSum(RECENT_USE_MS)
+        self.borrowed_amounts: list[_BorrowedAmount] = []
+        self.pending: dict[int, _PendingRequest] = {}
+        self.spare_capacities: dict[str, _SpareCapacity] = {}
+        self.requested_count = 0
+        self.borrowing_paused_until_ms = 0
+        self.used_at_ms = 0
 
 
-class UsageBooks:
+class UsageShares:
     """What one gateway has sent, lent and borrowed, by account."""
 
     def __init__(
@@ -185,55 +185,55 @@
         self._gateway_count = gateway_count
         self._started_ms = started_ms
         self._random = random_source
-        self._number = random_source.getrandbits(31)
-        self._accounts: dict[str, _Books] = {}
-        self._silent_until_ms: dict[str, int] = {}
+        self._request_number = random_source.getrandbits(31)
+        self._states: dict[str, _AccountState] = {}
+        self._unresponsive_until_ms: dict[str, int] = {}
 
-    def _open(
+    def _refilled_state(
         self, account: str, cap: usage_cap.UsageCap, now_ms: int
-    ) -> _Books:
-        books = self._accounts.get(account)
-        if books is None:
-            books = _Books(cap, self._rules.window_ms)
-            self._accounts[account] = books
-        books.cap = cap
-        books.used_ms = now_ms
-        self._fill(books, now_ms)
-        return books
-
-    def _part(self, cap: usage_cap.UsageCap) -> Bucket:
+    ) -> _AccountState:
+        state = self._states.get(account)
+        if state is None:
+            state = _AccountState(cap, self._rules.window_ms)
+            self._states[account] = state
+        state.cap = cap
+        state.used_at_ms = now_ms
+        self._fill(state, now_ms)
+        return state
+
+    def _share(self, cap: usage_cap.UsageCap) -> Bucket:
         """Returns this gateway's part of an account's bucket."""
         whole = self._rules.bucket(cap)
         count = max(1, self._gateway_count())
         return Bucket(whole.depth / count, whole.per_ms / count)
 
-    def _fill(self, books: _Books, now_ms: int) -> None:
+    def _fill(self, state: _AccountState, now_ms: int) -> None:
         # A started process begins with an empty bucket: what the one before
         # it has sent is not known.
-        part = self._part(books.cap)
-        since_ms = books.filled_ms
+        share = self._share(state.cap)
+        since_ms = state.filled_at_ms
         if since_ms is None:
             since_ms = self._started_ms
-        gained = part.per_ms * max(0, now_ms - since_ms)
-        books.level = min(part.depth, books.level + gained)
-        books.filled_ms = max(now_ms, since_ms)
+        gained = share.per_ms * max(0, now_ms - since_ms)
+        state.level = min(share.depth, state.level + gained)
+        state.filled_at_ms = max(now_ms, since_ms)
 
     @staticmethod
-    def _borrowed(books: _Books, now_ms: int) -> float:
-        books.borrowed = [
+    def _borrowed_total(state: _AccountState, now_ms: int) -> float:
+        state.borrowed_amounts = [
             one
-            for one in books.borrowed
-            if one.until_ms > now_ms and one.left > 0
+            for one in state.borrowed_amounts
+            if one.until_ms > now_ms and one.remaining > 0
         ]
-        return sum(one.left for one in books.borrowed)
+        return sum(one.remaining for one in state.borrowed_amounts)
 
-    def book(
+    def reserve(
         self,
         account: str,
         cap: usage_cap.UsageCap,
         cost: float,
         now_ms: int,
-    ) -> Booking | None:
+    ) -> Reservation | None:
         """Books a request that is about to be sent.
 
         Args:
@@ -246,34 +246,36 @@
             The booking, None if neither this gateway's part nor what it has
             borrowed pays for it.
         """
-        books = self._open(account, cap, now_ms)
-        borrowed = self._borrowed(books, now_ms)
+        state = self._refilled_state(account, cap, now_ms)
+        borrowed = self._borrowed_total(state, now_ms)
         own = max(0.0, cost - borrowed)
-        if own > max(0.0, books.level):
+        if own > max(0.0, state.level):
             return None
         left = cost - own
-        for loan in books.borrowed:
-            part = min(left, loan.left)
-            loan.left -= part
-            left -= part
-        books.level -= own
-        books.sent.add(cost, now_ms)
-        books.recent.add(cost, now_ms)
-        return Booking(account, cost, now_ms, own)
-
-    def give_back(self, booking: Booking) -> None:
+        for loan in state.borrowed_amounts:
+            paid = min(left, loan.remaining)
+            loan.remaining -= paid
+            left -= paid
+        state.level -= own
+        state.sent.add(cost, now_ms)
+        state.recent.add(cost, now_ms)
+        return Reservation(account, cost, now_ms, own)
+
+    def release(self, reservation: Reservation) -> None:
         """Gives a booking back whose request provably did not run."""
-        if booking.given_back:
+        if reservation.released:
             return
-        booking.given_back = True
-        books = self._accounts.get(booking.account)
-        if books is None:
+        reservation.released = True
+        state = self._states.get(reservation.account)
+        if state is None:
             return
-        books.recent.add(-booking.cost, booking.at_ms)
-        books.sent.add(-booking.cost, booking.at_ms)
-        books.level += booking.own
-        if books.borrowed:
-            books.borrowed[-1].left += booking.cost - booking.own
+        state.recent.add(-reservation.cost, reservation.at_ms)
+        state.sent.add(-reservation.cost, reservation.at_ms)
+        state.level += reservation.own
+        if state.borrowed_amounts:
+            state.borrowed_amounts[-1].remaining += (
+                reservation.cost - reservation.own
+            )
 
     def missing(
         self,
@@ -283,24 +285,24 @@
         now_ms: int,
     ) -> float:
         """Returns what has to be borrowed before a request can be booked."""
-        books = self._open(account, cap, now_ms)
-        own = max(0.0, books.level)
-        return max(0.0, cost - own - self._borrowed(books, now_ms))
+        state = self._refilled_state(account, cap, now_ms)
+        own = max(0.0, state.level)
+        return max(0.0, cost - own - self._borrowed_total(state, now_ms))
 
-    def wants_ahead(
+    def borrow_ahead_amount(
         self, account: str, cap: usage_cap.UsageCap, now_ms: int
     ) -> float:
         """Returns what to borrow before the next requests need it."""
-        books = self._open(account, cap, now_ms)
-        if books.asked or now_ms < books.shut_until_ms:
+        state = self._refilled_state(account, cap, now_ms)
+        if state.pending or now_ms < state.borrowing_paused_until_ms:
             return 0.0
-        at_hand = self._borrowed(books, now_ms) + max(0.0, books.level)
-        expected = _expected(books, AHEAD_MS, now_ms)
-        return expected if at_hand < expected else 0.0
+        available = self._borrowed_total(state, now_ms) + max(0.0, state.level)
+        expected = _expected(state, BORROW_AHEAD_MS, now_ms)
+        return expected if available < expected else 0.0
 
     def ask(
         self, account: str, need: float, now_ms: int
-    ) -> list[tuple[str, usage_loan.Ask]]:
+    ) -> list[tuple[str, usage_loan.LoanRequest]]:
         """Returns whom to ask for a loan now.
 
         Args:
@@ -312,94 +314,113 @@
             Gateways with what to send to each; none while others are still
             to answer, or if nobody is left to be asked.
         """
-        books = self._accounts[account]
-        self._give_up_asks(books, now_ms)
-        if books.asked or now_ms < books.shut_until_ms:
+        state = self._states[account]
+        self._expire_requests(state, now_ms)
+        if state.pending or now_ms < state.borrowing_paused_until_ms:
             return []
-        lenders = self._choose(books, need, now_ms)
+        lenders = self._choose_lenders(state, need, now_ms)
         if not lenders:
-            books.round_count = 0
-            books.shut_until_ms = now_ms + SHUT_MS
+            state.requested_count = 0
+            state.borrowing_paused_until_ms = now_ms + BORROWING_PAUSE_MS
             return []
-        books.round_count += len(lenders)
-        want = max(need, _expected(books, AHEAD_MS, now_ms))
-        asks = []
+        state.requested_count += len(lenders)
+        want = max(need, _expected(state, BORROW_AHEAD_MS, now_ms))
+        loan_requests = []
         for lender in lenders:
-            self._number = (self._number + 1) % 2**32
-            books.asked[self._number] = _Asked(lender, now_ms)
-            ask = usage_loan.Ask(account, self._number, need, want)
-            asks.append((lender, ask))
-        return asks
-
-    def _give_up_asks(self, books: _Books, now_ms: int) -> None:
-        for number, asked in list(books.asked.items()):
-            if now_ms - asked.at_ms >= ANSWER_MS:
-                del books.asked[number]
-                self._silent_until_ms[asked.lender] = now_ms + SILENT_MS
-
-    def _choose(self, books: _Books, need: float, now_ms: int) -> list[str]:
+            self._request_number = (self._request_number + 1) % 2**32
+            state.pending[self._request_number] = _PendingRequest(
+                lender, now_ms
+            )
+            loan_request = usage_loan.LoanRequest(
+                account, self._request_number, need, want
+            )
+            loan_requests.append((lender, loan_request))
+        return loan_requests
+
+    def _expire_requests(self, state: _AccountState, now_ms: int) -> None:
+        for number, pending in list(state.pending.items()):
+            if now_ms - pending.at_ms >= LOAN_TIMEOUT_MS:
+                del state.pending[number]
+                self._unresponsive_until_ms[pending.lender] = (
+                    now_ms + UNRESPONSIVE_MS
+                )
+
+    def _choose_lenders(
+        self, state: _AccountState, need: float, now_ms: int
+    ) -> list[str]:
         """Chooses those with most room, then others that have not told it."""
-        if books.round_count >= MAX_ASKED_IN_VAIN:
+        if state.requested_count >= MAX_FAILED_LOAN_REQUESTS:
             return []
-        parts = math.ceil(need / self._part(books.cap).depth)
-        count = min(MAX_ASKED_AT_ONCE, max(MIN_ASKED_AT_ONCE, parts))
-        hints = {
-            name: hint.room
-            for name, hint in books.hints.items()
-            if now_ms - hint.at_ms < HINT_MS
+        share_count = math.ceil(need / self._share(state.cap).depth)
+        count = min(
+            MAX_LENDERS_PER_ROUND, max(MIN_LENDERS_PER_ROUND, share_count)
+        )
+        spare_capacities = {
+            name: reported.amount
+            for name, reported in state.spare_capacities.items()
+            if now_ms - reported.at_ms < SPARE_CAPACITY_TTL_MS
         }
-        known = [name for name, room in hints.items() if room > 0]
-        known.sort(key=lambda name: -hints[name])
+        known = [name for name, spare in spare_capacities.items() if spare > 0]
+        known.sort(key=lambda name: -spare_capacities[name])
         chosen = known[:count]
         unknown = [
             name
             for name in self._others()
-            if name not in hints
-            and self._silent_until_ms.get(name, now_ms) <= now_ms
+            if name not in spare_capacities
+            and self._unresponsive_until_ms.get(name, now_ms) <= now_ms
         ]
         count = min(count - len(chosen), len(unknown))
         return chosen + self._random.sample(sorted(unknown), count)
 
     def on_loan(self, loan: usage_loan.Loan, now_ms: int) -> None:
         """Applies the answer of another gateway."""
-        books = self._accounts.get(loan.account)
-        asked = books.asked.pop(loan.number, None) if books else None
-        if asked is None:
+        state = self._states.get(loan.account)
+        pending = state.pending.pop(loan.number, None) if state else None
+        if pending is None:
             return
-        self._silent_until_ms.pop(asked.lender, None)
-        books.hints[asked.lender] = _Hint(loan.room, now_ms)
+        self._unresponsive_until_ms.pop(pending.lender, None)
+        state.spare_capacities[pending.lender] = _SpareCapacity(
+            loan.room, now_ms
+        )
         if loan.amount > 0:
-            until_ms = asked.at_ms + usage_loan.USABLE_MS
-            books.borrowed.append(_Borrowed(loan.amount, until_ms))
-            books.round_count = 0
+            until_ms = pending.at_ms + usage_loan.LOAN_USABLE_MS
+            state.borrowed_amounts.append(
+                _BorrowedAmount(loan.amount, until_ms)
+            )
+            state.requested_count = 0
 
     def lend(
-        self, ask: usage_loan.Ask, cap: usage_cap.UsageCap, now_ms: int
+        self,
+        loan_request: usage_loan.LoanRequest,
+        cap: usage_cap.UsageCap,
+        now_ms: int,
     ) -> usage_loan.Loan:
         """Answers another gateway's ask.
 
         Args:
-            ask: The ask.
+            loan_request: The request.
             cap: The account's cap.
             now_ms: This gateway's clock.
         """
-        books = self._open(ask.account, cap, now_ms)
-        kept = min(
-            _expected(books, KEPT_MS, now_ms),
-            MAX_KEPT_PART * self._part(cap).depth,
+        state = self._refilled_state(loan_request.account, cap, now_ms)
+        withheld = min(
+            _expected(state, WITHHELD_MS, now_ms),
+            MAX_WITHHELD_FRACTION * self._share(cap).depth,
+        )
+        spare = max(0.0, state.level - withheld)
+        ahead = min(loan_request.want, LEND_AHEAD_FRACTION * spare)
+        amount = min(spare, max(loan_request.need, ahead))
+        state.level -= amount
+        return usage_loan.Loan(
+            loan_request.account, loan_request.number, amount, spare - amount
         )
-        room = max(0.0, books.level - kept)
-        ahead = min(ask.want, AHEAD_PART * room)
-        amount = min(room, max(ask.need, ahead))
-        books.level -= amount
-        return usage_loan.Loan(ask.account, ask.number, amount, room - amount)
 
-    def is_shut(self, account: str, now_ms: int) -> bool:
+    def is_borrowing_paused(self, account: str, now_ms: int) -> bool:
         """Whether nobody had room a moment ago."""
-        books = self._accounts.get(account)
-        return books is not None and now_ms < books.shut_until_ms
+        state = self._states.get(account)
+        return state is not None and now_ms < state.borrowing_paused_until_ms
 
-    def room_after_ms(
+    def refill_wait_ms(
         self,
         account: str,
         cap: usage_cap.UsageCap,
@@ -408,7 +429,7 @@
     ) -> int:
         """Returns in what time this gateway's part has room for a cost."""
         missing = self.missing(account, cap, cost, now_ms)
-        per_ms = self._part(cap).per_ms
+        per_ms = self._share(cap).per_ms
         if missing > self._rules.window_ms * per_ms:
             return self._rules.window_ms
         return round(missing / per_ms)
@@ -417,29 +438,29 @@
         """Returns what was sent in a window and what is left, by account."""
         return {
             name: {
-                "sent": books.sent.total(now_ms),
-                "left": books.level,
-                "borrowed": self._borrowed(books, now_ms),
+                "sent": state.sent.total(now_ms),
+                "left": state.level,
+                "borrowed": self._borrowed_total(state, now_ms),
                 "window_ms": self._rules.window_ms,
             }
-            for name, books in self._accounts.items()
+            for name, state in self._states.items()
         }
 
     def forget(self, now_ms: int) -> None:
         """Drops the books of accounts that were not used for long."""
-        for account, books in list(self._accounts.items()):
-            self._fill(books, now_ms)
-            is_full = books.level >= self._part(books.cap).depth
+        for account, state in list(self._states.items()):
+            self._fill(state, now_ms)
+            is_full = state.level >= self._share(state.cap).depth
             # One that is not full would be full when it is opened again.
-            if is_full and now_ms - books.used_ms > self._rules.window_ms:
-                del self._accounts[account]
-        self._silent_until_ms = {
+            if is_full and now_ms - state.used_at_ms > self._rules.window_ms:
+                del self._states[account]
+        self._unresponsive_until_ms = {
             name: until_ms
-            for name, until_ms in self._silent_until_ms.items()
+            for name, until_ms in self._unresponsive_until_ms.items()
             if until_ms > now_ms
         }
 
 
-def _expected(books: _Books, for_ms: int, now_ms: int) -> float:
+def _expected(state: _AccountState, for_ms: int, now_ms: int) -> float:
     """Returns the use that is expected in a time."""
-    return max(0.0, books.recent.total(now_ms)) * for_ms / RECENT_MS
+    return max(0.0, state.recent.total(now_ms)) * for_ms / RECENT_USE_MS
--- a/packages/radishstack/src/radishstack/target_admission.py
+++ b/packages/radishstack/src/radishstack/target_admission.py
@@ -108,19 +108,19 @@
     actions: state_lib.Actions,
 ) -> None:
     key = (attempt.service, attempt.key)
-    judgement = target.ledger.judge(
+    decision = target.ledger.decide(
         key,
         digest=attempt.digest,
         accepted_at_ms=attempt.accepted_at_ms,
         now_ms=now_ms,
     )
-    match judgement.verdict:
+    match decision.verdict:
         case ledger_lib.Verdict.JOIN:
             actions.append(
-                event_lib.Join(attempt.attempt_id, judgement.record.attempt_id)
+                event_lib.Join(attempt.attempt_id, decision.record.attempt_id)
             )
         case ledger_lib.Verdict.CLAIM:
-            _claim(target, attempt, judgement.record, now_ms, actions)
+            _claim(target, attempt, decision.record, now_ms, actions)
         case verdict:
             failure = _explain_verdict(target, verdict, now_ms)
             state_lib.refuse(target, attempt, failure, actions)
@@ -347,7 +347,7 @@
     if attempt is None:
         return
     key = (attempt.service, attempt.key)
-    if event.answer is ledger_lib.Sealing.SEALED:
+    if event.answer is ledger_lib.SealReply.SEALED:
         service = target.service(attempt.service)
         if service is not None:
             target.ledger.claim(
@@ -360,7 +360,7 @@
             )
             _admit_claimed(target, attempt, now_ms, actions)
             return
-    if event.answer is ledger_lib.Sealing.RAN:
+    if event.answer is ledger_lib.SealReply.RAN:
         failure = result.Failure(
             result.ANSWER_NOT_KEPT,
             "this key ran on a former home, which keeps the answer",
--- a/packages/radishstack/src/radishstack/target_event.py
+++ b/packages/radishstack/src/radishstack/target_event.py
@@ -33,7 +33,7 @@
     """
 
     attempt_id: bytes
-    answer: ledger_lib.Sealing
+    answer: ledger_lib.SealReply
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -213,7 +213,7 @@
     """Answer a new home."""
 
     seal_id: int
-    answer: ledger_lib.Sealing
+    answer: ledger_lib.SealReply
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/proofs/crashes.py
+++ b/proofs/crashes.py
@@ -64,9 +64,9 @@
         self.popular_moments = 0
         self.lost_any = False
 
-    def _start(self) -> incarnation.Start:
+    def _start(self) -> incarnation.IncarnationId:
         self.starts += 1
-        return incarnation.Start(f"i{self.starts}", self.starts)
+        return incarnation.IncarnationId(f"i{self.starts}", self.starts)
 
     def _tell(
         self,
@@ -83,7 +83,9 @@
                 self.words.append(Word(to, by, data, self.now_ms))
 
     def _crash(
-        self, start: incarnation.Start, seen: dict[int, list[tuple[str, int]]]
+        self,
+        incarnation_id: incarnation.IncarnationId,
+        seen: dict[int, list[tuple[str, int]]],
     ) -> None:
         """Ends a target; each gateway sees its own requests break off."""
         for number, requests in seen.items():
@@ -91,7 +93,7 @@
                 crash_lib.Suspect(fingerprint, began_ms)
                 for fingerprint, began_ms in requests
             )
-            crash = crash_lib.Crash(start, self.now_ms, suspects)
+            crash = crash_lib.Crash(incarnation_id, self.now_ms, suspects)
             self._tell(number, self.gateways[number].crashed(crash))
 
     def _fresh(self, count: int) -> list[tuple[str, int]]:
@@ -112,7 +114,9 @@
     def _is_sent(self, number: int, fingerprint: str) -> bool:
         if self._quarantine(number, fingerprint) is None:
             return True
-        tried = self.gateways[number].may_try(fingerprint, self.now_ms, number)
+        tried = self.gateways[number].may_send_trial(
+            fingerprint, self.now_ms, number
+        )
         COUNTS["tried"] += tried
         return tried
 
@@ -167,7 +171,7 @@
         if not self._is_sent(number, POPULAR):
             return
         self.now_ms += MIN_RUN_MS
-        record = self.gateways[number].ended_well(POPULAR, self.now_ms)
+        record = self.gateways[number].succeeded(POPULAR, self.now_ms)
         if record is not None:
             self._tell(number, [record])
             self.popular_moments = 0
@@ -188,7 +192,7 @@
         for told in news.records:
             record = fleet_wire.record_of(told, word.told_at_ms + ROAD_MS)
             evidence.take(record)
-            unheard = evidence.unheard_by(record)
+            unheard = evidence.missed_clearance(record)
             if unheard is not None:
                 self._tell(word.to, [unheard], only=word.by)
 
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -162,44 +162,44 @@
     ),
     Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_books.py",
-        "        books.level -= amount\n",
+        "radishstack/process/usage_shares.py",
+        "        state.level -= amount\n",
         "",
         USAGE,
     ),
     Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_books.py",
+        "radishstack/process/usage_shares.py",
         "Bucket(whole.depth / count, whole.per_ms / count)",
         "Bucket(whole.depth, whole.per_ms / count)",
         USAGE,
     ),
     Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_books.py",
-        "            if one.until_ms > now_ms and one.left > 0\n",
-        "            if one.left > 0\n",
+        "radishstack/process/usage_shares.py",
+        "            if one.until_ms > now_ms and one.remaining > 0\n",
+        "            if one.remaining > 0\n",
         _test("fleet.test_usage_caps"),
     ),
     Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_books.py",
-        "            until_ms = asked.at_ms + usage_loan.USABLE_MS\n",
-        "            until_ms = now_ms + usage_loan.USABLE_MS\n",
+        "radishstack/process/usage_shares.py",
+        "            until_ms = pending.at_ms + usage_loan.LOAN_USABLE_MS\n",
+        "            until_ms = now_ms + usage_loan.LOAN_USABLE_MS\n",
         _test("fleet.test_usage_caps"),
     ),
     Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_books.py",
+        "radishstack/process/usage_shares.py",
         "            since_ms = self._started_ms\n",
         "            since_ms = 0\n",
         _test("fleet.test_usage_caps"),
     ),
     Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_books.py",
-        "            if is_full and now_ms - books.used_ms",
-        "            if now_ms - books.used_ms",
+        "radishstack/process/usage_shares.py",
+        "            if is_full and now_ms - state.used_at_ms",
+        "            if now_ms - state.used_at_ms",
         _test("fleet.test_usage_caps"),
     ),
     Mutant(
@@ -212,7 +212,7 @@
     Mutant(
         "what did not run is given back",
         "radishd/request/forward.py",
-        "            gateway.usage_caps.give_back(self._booking)\n",
+        "            gateway.usage_caps.release(self._booking)\n",
         "            pass\n",
         _test("fleet.test_usage_caps"),
     ),
@@ -257,9 +257,9 @@
         "at most once",
         "radishstack/process/ledger.py",
         "            if now_ms < self.quarantine_until_ms:\n"
-        "                return Judgement(Verdict.QUARANTINED)",
+        "                return Decision(Verdict.QUARANTINED)",
         "            if False:\n"
-        "                return Judgement(Verdict.QUARANTINED)",
+        "                return Decision(Verdict.QUARANTINED)",
     ),
     Mutant(
         "at most once",
@@ -592,7 +592,7 @@
     Mutant(
         "a lapse is no departure, a departure no lapse",
         "radishstack/process/roster.py",
-        "        if away_ms < self._outlived_ms:",
+        "        if away_ms < self._min_ttl_ms:",
         "        if False:",
         _test("fleet.test_store_outage"),
     ),
@@ -620,7 +620,7 @@
     Mutant(
         "old news never wins",
         "radishd/process/knowledge.py",
-        "            and not self._roster.is_in_doubt(clock.boot_ms())",
+        "            and not self._roster.in_grace_period(clock.boot_ms())",
         "            and True",
         _test("fleet.test_store_outage"),
     ),
@@ -669,14 +669,16 @@
     Mutant(
         "nothing of a former start is kept",
         "radishstack/process/placement.py",
-        "        if before is None or before.start.is_other(view.start):",
+        "        if before is None or before.incarnation_id.is_other(\n"
+        "            view.incarnation_id\n"
+        "        ):",
         "        if before is None or before.instance != view.instance:",
         _test("fleet.test_starts"),
     ),
     Mutant(
         "nothing of a former start is kept",
         "radishstack/process/placement.py",
-        "        if incarnation.are_other_births("
+        "        if incarnation.start_times_differ("
         "view.born_ms, listing.born_ms):",
         "        if False:",
         _test("fleet.test_starts"),
@@ -791,8 +793,8 @@
     Mutant(
         "what ends targets is refused",
         "radishstack/process/crash_evidence.py",
-        "MIN_MOMENTS = 3\n",
-        "MIN_MOMENTS = 30\n",
+        "MIN_CRASHES = 3\n",
+        "MIN_CRASHES = 30\n",
         _test("fleet.test_crash"),
     ),
     Mutant(
@@ -819,14 +821,14 @@
     Mutant(
         "nobody else is refused",
         "radishstack/process/crash_evidence.py",
-        "MIN_MOMENTS = 3\n",
-        "MIN_MOMENTS = 1\n",
+        "MIN_CRASHES = 3\n",
+        "MIN_CRASHES = 1\n",
         _test("fleet.test_crash_evidence"),
     ),
     Mutant(
         "nobody else is refused",
         "radishstack/process/crash_evidence.py",
-        "        if later or observation.began_at_ms >= at_ms - WORD_MS:",
+        "        if later or observation.began_at_ms >= at_ms - REPORT_LAG_MS:",
         "        if True:",
         _test("fleet.test_crash_evidence"),
     ),
@@ -840,15 +842,15 @@
     Mutant(
         "nobody else is refused",
         "radishstack/process/crash_evidence.py",
-        "AMBIGUOUS_EXTRA = 1\n",
-        "AMBIGUOUS_EXTRA = 0\n",
+        "AMBIGUOUS_EXTRA_CRASHES = 1\n",
+        "AMBIGUOUS_EXTRA_CRASHES = 0\n",
         _test("fleet.test_crash_evidence"),
     ),
     Mutant(
         "nobody else is refused",
         "radishstack/process/crash_evidence.py",
-        "        missed = told.observations[0].ended_at_ms <= cleared_at_ms",
-        "        missed = told.observations[-1].ended_at_ms <= cleared_at_ms",
+        "        missed = report.observations[0].ended_at_ms <= cleared_at_ms",
+        "        missed = report.observations[-1].ended_at_ms <= cleared_at_ms",
         _test("fleet.test_crash_evidence"),
     ),
     Mutant(
@@ -861,7 +863,7 @@
     Mutant(
         "nobody else is refused",
         "radishd/target_evidence.py",
-        "        if self._roster.is_staying(member, clock.boot_ms()):",
+        "        if self._roster.is_active(member, clock.boot_ms()):",
         "        if True:",
         _test("fleet.test_crashes"),
     ),
@@ -875,28 +877,28 @@
     Mutant(
         "nobody else is refused",
         "radishstack/process/crash_evidence.py",
-        "            more = MIN_MOMENTS_SERVED - MIN_MOMENTS",
+        "            extra = MIN_CRASHES_IF_SERVED - MIN_CRASHES",
         "            pass",
         _test("fleet.test_crash_evidence"),
     ),
     Mutant(
         "evidence of crashes is bounded",
         "radishstack/process/crash_evidence.py",
-        "        if len(self._served_at_ms) > MAX_SERVED:",
+        "        if len(self._succeeded_at_ms) > MAX_SUCCESSES:",
         "        if False:",
         _test("fleet.test_crash_evidence"),
     ),
     Mutant(
         "a quarantine ends with one that is tried",
         "radishstack/process/crash_evidence.py",
-        "        if len(alone) < MIN_ALONE:",
+        "        if len(alone) < MIN_CRASHES_ALONE:",
         "        if False:",
         _test("fleet.test_crash_evidence"),
     ),
     Mutant(
         "a quarantine ends with one that is tried",
         "radishstack/process/crash_evidence.py",
-        "        return now_ms >= quarantine.until_ms + rank * TRIAL_MS",
+        "        return now_ms >= quarantine.until_ms + rank * TRIAL_DELAY_MS",
         "        return now_ms >= quarantine.until_ms",
         _test("fleet.test_crashes"),
     ),
@@ -924,7 +926,7 @@
     Mutant(
         "a target's own word counts",
         "radishstack/process/roster.py",
-        "            and not self.said_to_leave(member.listing.start)\n",
+        "            and not self.is_draining(member.listing.incarnation_id)\n",
         "",
         _test("fleet.test_target_news"),
     ),
--- a/proofs/rate_limits.py
+++ b/proofs/rate_limits.py
@@ -70,14 +70,14 @@
     def request(self) -> None:
         """Sends a request if the limit allows it."""
         now_ms = self.world.now_ms
-        if self.limits.book(self.world.start, now_ms) is None:
+        if self.limits.reserve(self.world.incarnation_id, now_ms) is None:
             COUNTS["rejected"] += 1
             return
         COUNTS["sent"] += 1
         delay_ms = self.world.random.randint(MIN_DELAY_MS, MAX_DELAY_MS)
         # Some requests wait for an adapter to load.
         if self.world.random.random() < 0.1:
-            delay_ms += target_rate_limits.BOOKING_MS
+            delay_ms += target_rate_limits.RESERVATION_MS
         limits = self.limits
         self.world.after(delay_ms, lambda: self._arrive(limits))
 
@@ -115,14 +115,17 @@
         elif limit_per_s == UNLIMITED_PER_S:
             self.limited_since_ms = None
         if limits.record(
-            self.world.start, limit_per_s, as_of_ms=sent_at_ms, now_ms=now_ms
+            self.world.incarnation_id,
+            limit_per_s,
+            as_of_ms=sent_at_ms,
+            now_ms=now_ms,
         ):
             self.world.report(self, limit_per_s)
 
     def on_report(self, limit_per_s: float, received_at_ms: int) -> None:
         """Applies a report from another gateway."""
         self.limits.record(
-            self.world.start,
+            self.world.incarnation_id,
             limit_per_s,
             as_of_ms=received_at_ms - target_rate_limits.MAX_REORDER_MS,
             now_ms=self.world.now_ms,
@@ -150,7 +153,7 @@
         self.now_ms = 1_000_000
         self.count = count
         self.random = source
-        self.start = incarnation.Start("i-1", 1)
+        self.incarnation_id = incarnation.IncarnationId("i-1", 1)
         self.limit_per_s = UNLIMITED_PER_S
         self.loss = 0.0
         self.arrivals: list[Arrival] = []
--- a/proofs/starts.py
+++ b/proofs/starts.py
@@ -153,7 +153,7 @@
     @stateful.rule()
     def settle(self) -> None:
         """The roster applies entries that it has withheld."""
-        self.roster.release_restored(NOW_MS)
+        self.roster.apply_withheld(NOW_MS)
 
     @stateful.rule()
     def read_newest(self) -> None:
@@ -175,9 +175,9 @@
     def hear(self, pick: int) -> None:
         """The gateway hears any word that was ever told."""
         word = self.words[pick % len(self.words)]
-        start = incarnation.Start(NAME, word.born_ms)
-        self.roster.restarted(start, word.former_born_ms)
-        if start.is_other(self.member.listing.start):
+        incarnation_id = incarnation.IncarnationId(NAME, word.born_ms)
+        self.roster.restarted(incarnation_id, word.former_born_ms)
+        if incarnation_id.is_other(self.member.listing.incarnation_id):
             return
         view = placement_lib.View(
             NAME, NOW_MS, 0, 0, _held(word.born_ms), frozenset()
@@ -210,7 +210,7 @@
         if not told or self.read_position < newest.changed_position:
             return
         if self.member.withheld is not None:
-            self.roster.release_restored(NOW_MS)
+            self.roster.apply_withheld(NOW_MS)
         COUNTS["checks"] += 1
         assert self.member.listing.born_ms == self.born_ms
         assert self.roster.usable(SERVICE, NOW_MS) == [self.member]
--- a/proofs/usage.py
+++ b/proofs/usage.py
@@ -16,9 +16,9 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 from radishstack.connection import fleet_wire
-from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
+from radishstack.process import usage_shares
 
 COUNTS: collections.Counter[str] = collections.Counter()
 ACCOUNT = "crew"
@@ -27,7 +27,7 @@
 MIN_DELAY_MS = 1
 MAX_DELAY_MS = 6
 # A send follows its booking within this time.
-MAX_SEND_DELAY_MS = usage_loan.BOOKING_MS
+MAX_SEND_DELAY_MS = usage_loan.RESERVATION_MS
 MS_PER_S = 1_000
 # For the rounding of sums of floats.
 EPSILON = 1.0
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        rules: usage_books.Rules,
+        rules: usage_shares.Rules,
         cap: usage_cap.UsageCap,
         count: int,
         source: random.Random,
@@ -152,7 +152,7 @@
         """Starts the process again, with empty books."""
         self.run += 1
         self._inbox.clear()
-        self.books = usage_books.UsageBooks(
+        self.books = usage_shares.UsageShares(
             self.world.rules,
             lambda: self.others,
             lambda: self.world.count,
@@ -200,7 +200,7 @@
 
     def _handle(self, message: usage_loan.Message, sender: str) -> None:
         now_ms = self.world.now_ms
-        if isinstance(message, usage_loan.Ask):
+        if isinstance(message, usage_loan.LoanRequest):
             loan = self.books.lend(message, self.world.cap, now_ms)
             self.world.send(self.name, sender, loan)
         else:
@@ -214,15 +214,18 @@
 
     def _admit(self, cost: float, until_ms: int, done: Done | None) -> None:
         now_ms, cap = self.world.now_ms, self.world.cap
-        if self.books.book(ACCOUNT, cap, cost, now_ms) is not None:
-            if self.books.wants_ahead(ACCOUNT, cap, now_ms):
+        if self.books.reserve(ACCOUNT, cap, cost, now_ms) is not None:
+            if self.books.borrow_ahead_amount(ACCOUNT, cap, now_ms):
                 self._ask(0.0)
             self._send_soon(cost)
             if done is not None:
                 done(True)
             return
         self._ask(self.books.missing(ACCOUNT, cap, cost, now_ms))
-        if self.books.is_shut(ACCOUNT, now_ms) or now_ms >= until_ms:
+        if (
+            self.books.is_borrowing_paused(ACCOUNT, now_ms)
+            or now_ms >= until_ms
+        ):
             if done is not None:
                 done(False)
             return
@@ -254,7 +257,7 @@
     """One account, at and beyond its cap, at gateways under faults."""
 
     GATEWAYS = 5
-    RULES = usage_books.Rules(4_000, 0.1, 2_000.0)
+    RULES = usage_shares.Rules(4_000, 0.1, 2_000.0)
     CAP = usage_cap.UsageCap(10_000.0, 10_000.0, usage_cap.CostUnit.TOKEN)
 
     def __init__(self) -> None:
--- a/proofs/world.py
+++ b/proofs/world.py
@@ -64,7 +64,7 @@
         self.caller_of_attempt: dict[bytes, int] = {}
         self.left_at_ms: dict[str, int] = {}
         self.accepted_ms: dict[bytes, int] = {}
-        self.seal_answer = ledger_lib.Sealing.UNKNOWN
+        self.seal_answer = ledger_lib.SealReply.UNKNOWN
         self.nodes = {
             name: actors.Node(name, actors.Engine())
             for name in (*scene.ENGINES, *scene.DESKS)
@@ -218,16 +218,16 @@
         self, node: actors.Node, action: event_lib.AskPriors
     ) -> None:
         """Asks former homes; one that is down or frozen does not answer."""
-        worst = ledger_lib.Sealing.SEALED
+        worst = ledger_lib.SealReply.SEALED
         for name in action.targets:
             prior = self.nodes[name]
-            answer = ledger_lib.Sealing.UNKNOWN
+            answer = ledger_lib.SealReply.UNKNOWN
             if prior.machine is not None and not prior.frozen:
                 self.feed(prior, event_lib.SealAsked(action.key, node.name, 0))
                 answer = self.seal_answer
                 self.counts[f"seal {answer.name.lower()}"] += 1
-            ran = answer is ledger_lib.Sealing.RAN
-            if ran or worst is ledger_lib.Sealing.SEALED:
+            ran = answer is ledger_lib.SealReply.RAN
+            if ran or worst is ledger_lib.SealReply.SEALED:
                 worst = answer
         event = event_lib.PriorsAnswered(action.attempt_id, worst)
         body = (action.attempt_id, event)
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -96,8 +96,8 @@
         "nobody else is refused",
         EVIDENCE,
         "        if (\n"
-        "            moments < MIN_MOMENTS + more\n"
-        "            or _in_turn(record) < MIN_IN_TURN + more\n"
+        "            crash_count < MIN_CRASHES + extra\n"
+        "            or _count_consecutive(record) < MIN_CONSECUTIVE + extra\n"
         "        ):\n",
         "        if False:\n",
         _seeds(400, Kind.POISON, Kind.TARGET_RESTART),
@@ -105,7 +105,7 @@
     mutants.Mutant(
         "a target's word that it leaves counts",
         "radishstack/process/roster.py",
-        "            and not self.said_to_leave(member.listing.start)\n",
+        "            and not self.is_draining(member.listing.incarnation_id)\n",
         "",
         _seeds(410, Kind.LEAVE_BY_WORD, Kind.VERSION),
     ),
@@ -146,7 +146,7 @@
     ),
     mutants.Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_books.py",
+        "radishstack/process/usage_shares.py",
         "Bucket(whole.depth / count, whole.per_ms / count)",
         "Bucket(whole.depth, whole.per_ms)",
         _seeds(450, Kind.RUSH),
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -265,19 +265,22 @@
         async with fixtures.running_fleet(engines=1, plain=1) as fleet:
             knows, missed = await _add_gateways(fleet, 2)
             now_ms = clock.boot_ms()
-            starts = [incarnation.Start(f"i{number}", 1) for number in range(3)]
+            starts = [
+                incarnation.IncarnationId(f"i{number}", 1)
+                for number in range(3)
+            ]
             observations = tuple(
                 crash_evidence.Observation(
-                    start, now_ms - ago_ms - 300, now_ms - ago_ms
+                    incarnation_id, now_ms - ago_ms - 300, now_ms - ago_ms
                 )
-                for start, ago_ms in zip(
+                for incarnation_id, ago_ms in zip(
                     starts, (9_000, 6_000, 3_000), strict=True
                 )
             )
             record = crash_evidence.Record("07" * 16, observations)
             for gateway in (knows, missed):
                 gateway.crash_gossip.take([record], source="test")
-            knows.crash_gossip.evidence.ended_well("07" * 16, now_ms)
+            knows.crash_gossip.evidence.succeeded("07" * 16, now_ms)
             assert missed.crash_gossip.quarantine("07" * 16) is not None
             await fleet.until(
                 lambda: missed.crash_gossip.quarantine("07" * 16) is None,
@@ -307,7 +310,9 @@
             )
             observations = tuple(
                 crash_evidence.Observation(
-                    incarnation.Start(f"i{number}", 1), at_ms - 300, at_ms
+                    incarnation.IncarnationId(f"i{number}", 1),
+                    at_ms - 300,
+                    at_ms,
                 )
                 for number, at_ms in enumerate(
                     now_ms - crash_evidence.QUARANTINE_MS - ago_ms
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -111,7 +111,7 @@
                 "i-restarted", engine=True, host=host
             )
             sidecar = fleet.sidecars[host]
-            sidecar.incarnations.named("i-engine0")
+            sidecar.incarnations.select("i-engine0")
             await fleet.until(
                 lambda: "i-restarted" in fleet.gateway.roster.members,
                 "the gateway lists the new start",
--- a/tests/fleet/test_foreign_entries.py
+++ b/tests/fleet/test_foreign_entries.py
@@ -35,7 +35,7 @@
     return wire.target("i1", spec, 1, 1)
 
 
-def test_a_good_entry_names_a_target() -> None:
+def test_a_valid_entry_is_decoded() -> None:
     """Whatever else it holds: writers may be newer."""
     assert isinstance(_target(GOOD), roster_lib.Listing)
     assert isinstance(_target(GOOD | {"x": [1]}), roster_lib.Listing)
@@ -48,7 +48,7 @@
     | strategies.text(max_size=4)
     | strategies.lists(strategies.integers(), max_size=2),
 )
-def test_a_spoilt_entry_names_no_target(field: str, value: Any) -> None:
+def test_an_invalid_entry_is_rejected(field: str, value: Any) -> None:
     """Requests are sent to a target whose state is not known.
 
     The state ``resting`` was taken for ready, and an address of null and a
@@ -77,7 +77,7 @@
         lambda name: {k: v for k, v in GOOD.items() if k != name}
     )
 )
-def test_an_entry_without_its_fields_names_no_target(spec: Any) -> None:
+def test_an_entry_without_a_required_field_is_rejected(spec: Any) -> None:
     """A missing field was taken for an empty one."""
     assert not isinstance(_target(spec), roster_lib.Listing)
 
@@ -87,7 +87,7 @@
     return {member.listing.instance for member in members}
 
 
-async def _has_read_all(fleet: fixtures.Fleet) -> None:
+async def _until_all_is_read(fleet: fixtures.Fleet) -> None:
     follower = fleet.gateway.knowledge.followers[TARGETS]
     await fleet.until(
         lambda: (
@@ -103,24 +103,24 @@
     return json.loads(json.dumps(spec))
 
 
-def test_a_target_whose_entry_is_spoilt_gets_no_more_work() -> None:
+def test_a_target_whose_entry_becomes_invalid_gets_no_requests() -> None:
     """An entry that turns unreadable leaves in force what it said before."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
-            for spoilt in ({"state": "resting"}, {"address": None}):
+            for invalid in ({"state": "resting"}, {"address": None}):
                 spec = _plain_spec(fleet, "i-plain0")
-                fleet.store.put(TARGETS, "i-plain0", spec | spoilt)
-                await _has_read_all(fleet)
+                fleet.store.put(TARGETS, "i-plain0", spec | invalid)
+                await _until_all_is_read(fleet)
                 assert _usable(fleet) == {"i-plain1"}
                 fleet.store.put(TARGETS, "i-plain0", spec)
-                await _has_read_all(fleet)
+                await _until_all_is_read(fleet)
                 assert _usable(fleet) == {"i-plain0", "i-plain1"}
 
     fixtures.run(play)
 
 
-def test_an_unknown_service_takes_no_target_off_its_address() -> None:
+def test_an_entry_of_an_unknown_service_does_not_replace_a_target() -> None:
     """A target gets no more work because of an entry that nobody can use.
 
     Another writer enters a service that no configuration names, at the
@@ -132,7 +132,7 @@
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
             spec = _plain_spec(fleet, "i-plain0")
             fleet.store.put(TARGETS, "i-other", spec | {"service": "later"})
-            await _has_read_all(fleet)
+            await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0"}
             assert "i-other" not in fleet.gateway.roster.members
             elsewhere = spec | {
@@ -140,7 +140,7 @@
                 "address": f"{fleet.host()}:{fixtures.TARGET_PORT}",
             }
             fleet.store.put(TARGETS, "i-other", elsewhere)
-            await _has_read_all(fleet)
+            await _until_all_is_read(fleet)
             body = fixtures.configuration(version=2)
             body["services"].append({"name": "later", "maxConnections": 8})
             fleet.store.put("config", "main", body)
@@ -152,7 +152,7 @@
     fixtures.run(play)
 
 
-def test_one_bad_object_does_not_hide_the_others() -> None:
+def test_one_invalid_object_does_not_hide_the_others() -> None:
     """A gateway reads the list of targets again and again, in vain.
 
     One object of many has no name, or holds bytes that are no text. The whole
@@ -173,12 +173,12 @@
             other = f"{fleet.host()}:{fixtures.TARGET_PORT}"
             fleet.store.put(TARGETS, "i-plain9", spec | {"address": other})
             # Read by a watch, then by a list.
-            await _has_read_all(fleet)
+            await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0", "i-plain9"}
             for follower in gateway.knowledge.followers.values():
                 follower.restart()
             fleet.store.put(TARGETS, "i-plain9", spec | {"address": other})
-            await _has_read_all(fleet)
+            await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0", "i-plain9"}
             assert gateway.metrics.broken.get_all() == restarts
             answer = await fleet.call("/book/1")
@@ -187,7 +187,7 @@
     fixtures.run(play)
 
 
-def test_announced_versions_are_whole_numbers() -> None:
+def test_announced_versions_are_integers() -> None:
     """A version that is none was announced, or stopped the reader."""
     good = {"model": "base7", "adapter": "a1", "version": 2}
     assert wire.announced(good).version == 2
@@ -195,6 +195,6 @@
         for value in (None, True, 1.5, [7], {"a": 1}, -1):
             if field == "adapter" and value is None:
                 continue
-            spoilt = wire.announced(good | {field: value})
-            assert not hasattr(spoilt, "version"), (field, value)
+            invalid = wire.announced(good | {field: value})
+            assert not hasattr(invalid, "version"), (field, value)
     assert not hasattr(wire.announced(None), "version")
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -224,11 +224,11 @@
 
 def test_a_start_that_is_over_is_never_taken_again() -> None:
     """A gateway that lags goes on naming it for seconds."""
-    starts = incarnation.Incarnations()
-    assert starts.named("new") and starts.named("old")
+    starts = incarnation.IncarnationTracker()
+    assert starts.select("new") and starts.select("old")
     starts.refused()
-    assert not starts.named("old") and starts.current == ""
-    assert starts.named("new")
+    assert not starts.select("old") and starts.current == ""
+    assert starts.select("new")
 
 
 def test_parts_of_the_budget_add_up_to_the_whole() -> None:
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -209,8 +209,8 @@
     roster.outage_ended(NOW_MS, away_ms=4_000)
     assert not roster.remove("i0", NOW_MS + 100)
     assert len(roster.usable("llm", NOW_MS + 200)) == 2
-    assert roster.drop_lapsed(NOW_MS + 2_499) == []
-    assert roster.drop_lapsed(NOW_MS + 2_500) == ["i0"]
+    assert roster.drop_expired(NOW_MS + 2_499) == []
+    assert roster.drop_expired(NOW_MS + 2_500) == ["i0"]
     assert roster.remove("i1", NOW_MS + 9_000)
 
 
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -27,7 +27,7 @@
 TOLERANCE = 5
 MS_PER_S = 1_000
 GATEWAY_COUNT = 390
-START = incarnation.Start("i-limited", 1)
+TARGET = incarnation.IncarnationId("i-limited", 1)
 UNLIMITED_PER_S = target_rate_limits.UNLIMITED_PER_S
 
 Play = Callable[[fixtures.Fleet, list[gateway_lib.Gateway]], Awaitable[None]]
@@ -106,7 +106,7 @@
     return OVERSHOOT_FACTOR * limit_per_s * WINDOW_MS / MS_PER_S + TOLERANCE
 
 
-def test_a_target_gets_no_more_than_the_rate_limit_that_it_names() -> None:
+def test_a_target_gets_no_more_than_the_rate_limit_it_advertises() -> None:
     """Guards against gateways that together exceed a target's rate limit."""
 
     async def play(
@@ -122,7 +122,7 @@
     _run(play, plain=2)
 
 
-def test_an_engine_gets_no_more_than_the_rate_limit_that_it_names() -> None:
+def test_an_engine_gets_no_more_than_the_rate_limit_it_advertises() -> None:
     """Guards against adapter placement that ignores an engine's limit."""
 
     async def play(
@@ -164,7 +164,7 @@
         assert float(answer.headers["retry-after"]) > 0
 
 
-def test_where_all_targets_name_a_rate_limit_callers_are_told_at_once() -> None:
+def test_requests_are_rejected_at_once_if_all_targets_are_limited() -> None:
     """Guards against requests that wait for a limited service and time out."""
     _run(_check_limited_service, plain=2)
 
@@ -231,19 +231,19 @@
 def test_a_response_out_of_order_does_not_end_a_limit() -> None:
     """Guards against a limit that is removed by an older response."""
     limits = _limits()
-    limits.record(START, 4.0, as_of_ms=900, now_ms=1_000)
-    limits.record(START, UNLIMITED_PER_S, as_of_ms=950, now_ms=1_001)
-    assert limits.is_limited(START)
-    limits.record(START, UNLIMITED_PER_S, as_of_ms=1_001, now_ms=1_100)
-    assert not limits.is_limited(START)
+    limits.record(TARGET, 4.0, as_of_ms=900, now_ms=1_000)
+    limits.record(TARGET, UNLIMITED_PER_S, as_of_ms=950, now_ms=1_001)
+    assert limits.is_limited(TARGET)
+    limits.record(TARGET, UNLIMITED_PER_S, as_of_ms=1_001, now_ms=1_100)
+    assert not limits.is_limited(TARGET)
 
 
-def test_a_limit_holds_for_one_start_of_a_target_only() -> None:
+def test_a_limit_holds_for_one_incarnation_of_a_target_only() -> None:
     """Guards against a limit that persists after the target restarts."""
     limits = _limits()
-    limits.record(START, 4.0, as_of_ms=900, now_ms=1_000)
-    assert not limits.may_send(START, 1_000)
-    assert limits.may_send(incarnation.Start(START.name, 2), 1_000)
+    limits.record(TARGET, 4.0, as_of_ms=900, now_ms=1_000)
+    assert not limits.may_send(TARGET, 1_000)
+    assert limits.may_send(incarnation.IncarnationId(TARGET.name, 2), 1_000)
 
 
 def test_a_gateway_that_knows_few_others_is_not_selected() -> None:
@@ -259,7 +259,10 @@
     world.limit_per_s = 4.0
     for gateway in world.gateways.values():
         gateway.limits.record(
-            world.start, 4.0, as_of_ms=world.now_ms, now_ms=world.now_ms
+            world.incarnation_id,
+            4.0,
+            as_of_ms=world.now_ms,
+            now_ms=world.now_ms,
         )
         gateway.limited_since_ms = world.now_ms - rate_limits.GRACE_PERIOD_MS
     world.demand(3_000, 20_000)
@@ -274,7 +277,10 @@
     world.limit_per_s = 4.0
     for gateway in world.gateways.values():
         gateway.limits.record(
-            world.start, 4.0, as_of_ms=world.now_ms, now_ms=world.now_ms
+            world.incarnation_id,
+            4.0,
+            as_of_ms=world.now_ms,
+            now_ms=world.now_ms,
         )
         gateway.limited_since_ms = world.now_ms
     world.run_until(world.now_ms + 3_600_000)
@@ -288,8 +294,8 @@
     """Guards against memory that grows with targets that no longer exist."""
     limits = _limits()
     for number in range(2 * target_rate_limits.MAX_LIMITS):
-        start = incarnation.Start(f"i-{number}", 1)
-        limits.record(start, 4.0, as_of_ms=0, now_ms=0)
+        incarnation_id = incarnation.IncarnationId(f"i-{number}", 1)
+        limits.record(incarnation_id, 4.0, as_of_ms=0, now_ms=0)
     assert len(limits) == target_rate_limits.MAX_LIMITS
 
 
@@ -311,8 +317,8 @@
 def test_a_report_of_a_limit_is_decoded_as_it_was_encoded() -> None:
     """Guards against lossy encoding and against invalid limits in reports."""
     for limit_per_s in (0.0, 6.4, UNLIMITED_PER_S):
-        report = fleet_wire.RateLimitReport(START, limit_per_s, 12)
+        report = fleet_wire.RateLimitReport(TARGET, limit_per_s, 12)
         assert fleet_wire.decode(fleet_wire.encode(report)) == report
-    report = fleet_wire.RateLimitReport(START, math.nan, 12)
+    report = fleet_wire.RateLimitReport(TARGET, math.nan, 12)
     decoded = fleet_wire.decode(fleet_wire.encode(report))
     assert isinstance(decoded, result.Failure)
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -35,24 +35,24 @@
 def test_a_pause_of_one_stream_is_no_reason_to_leave() -> None:
     """Load pattern: an engine reads a prompt, its other streams go on."""
     health = roster.Health()
-    health.progressed(20, NOW_MS - 100)
+    health.record_progress(20, NOW_MS - 100)
     assert _allowed_ms(health) == 960
 
 
 def test_pauses_that_are_usual_at_an_engine_are_waited_for() -> None:
     """Learned from its streams, and forgotten as they get shorter."""
     health = roster.Health()
-    health.progressed(500, NOW_MS - 2_000)
+    health.record_progress(500, NOW_MS - 2_000)
     assert _allowed_ms(health) == 750
     for _ in range(100):
-        health.progressed(20, NOW_MS - 1_000)
+        health.record_progress(20, NOW_MS - 1_000)
     assert _allowed_ms(health) == 240
 
 
 def test_before_the_first_event_the_objective_counts() -> None:
     """Whatever pauses its streams make later."""
     health = roster.Health()
-    health.progressed(500, NOW_MS)
+    health.record_progress(500, NOW_MS)
     assert _allowed_ms(health, begun=False) == 750
     short = dataclasses.replace(ROUTE, objective_ms=100)
     allowed_ms = silence.allowed_ms(short, health, begun=False, now_ms=NOW_MS)
--- a/tests/fleet/test_starts.py
+++ b/tests/fleet/test_starts.py
@@ -46,7 +46,7 @@
     return [member.listing.instance for member in members]
 
 
-def test_a_target_that_is_back_under_its_name_gets_work() -> None:
+def test_a_target_that_restarts_under_its_name_gets_requests() -> None:
     """A target that restarts gets no work from a gateway, for good.
 
     It answers that the start which was asked for is over, and registers again
@@ -61,7 +61,7 @@
     assert roster.members["i1"].health.failure_share == 0.0
 
 
-def test_a_later_start_may_bear_a_smaller_birth() -> None:
+def test_a_later_incarnation_may_have_an_earlier_start_time() -> None:
     """A target is taken for its former start after its clock was set back.
 
     The entry's revision says which state is later; births only tell starts
@@ -91,7 +91,7 @@
     assert roster.members["i1"].listing.born_ms == 5_000
 
 
-def test_a_birth_that_is_not_told_changes_nothing() -> None:
+def test_a_missing_start_time_changes_nothing() -> None:
     """What was seen of a target is forgotten with each of its entries.
 
     A writer that tells no birth, or stops telling it, is no new start.
@@ -122,7 +122,7 @@
     assert _usable(roster, "app") == ["i1"]
 
 
-def test_words_on_a_former_start_are_not_believed() -> None:
+def test_status_updates_of_a_former_incarnation_are_ignored() -> None:
     """Requests are sent to an engine for adapters that it held before.
 
     Its process told what the former start held; the entry of the new start
@@ -148,7 +148,7 @@
     assert ADAPTER not in placement.warm[address]
 
 
-def test_what_a_former_start_held_is_not_fast_to_load() -> None:
+def test_adapters_of_a_former_incarnation_are_not_fast_to_load() -> None:
     """Callers wait for loads that are expected at once and take a fetch.
 
     An engine restarts between two reports under the same name. What it held
@@ -180,7 +180,7 @@
     assert order.accepted_count == 1
 
 
-def test_uses_of_a_former_start_keep_no_place() -> None:
+def test_requests_of_a_former_incarnation_occupy_no_adapter_slot() -> None:
     """A load waits two seconds for the place of an adapter that nobody uses.
 
     The engine restarts while requests run there. They ended with it, but
@@ -200,7 +200,7 @@
     assert keeper.in_flight(ADAPTER, 1) == 0
 
 
-def test_a_name_that_was_refused_once_gets_orders_again() -> None:
+def test_a_name_that_was_rejected_once_gets_orders_again() -> None:
     """An engine that is back under a former name stays empty for good.
 
     Another engine ran on its VM meanwhile and refused orders to the former
@@ -231,7 +231,7 @@
     await fleet.call("/chat/x", adapter="a1")
 
 
-def test_late_evidence_on_a_former_start_does_not_hurt_the_new_one() -> None:
+def test_late_failures_of_a_former_incarnation_do_not_count() -> None:
     """A target that has just restarted is passed over.
 
     Requests of its former start fail when it ends; the last of them after the
@@ -269,7 +269,7 @@
     return spec | {"born": engine.born_ms, "models": []}
 
 
-def test_a_restarted_engine_is_used_before_its_entry_tells() -> None:
+def test_a_restarted_engine_is_used_before_its_entry_changes() -> None:
     """Requests for what an engine held go there until its entry has changed.
 
     The engine restarts under its name; its process sees that in the next
@@ -305,7 +305,7 @@
     fixtures.run(play)
 
 
-def test_a_late_word_does_not_bring_a_former_start_back() -> None:
+def test_a_delayed_message_does_not_restore_a_former_incarnation() -> None:
     """A gateway believes a start that is over, and the one that runs is lost.
 
     Words wait in the socket of a gateway that stands still while an engine
@@ -338,14 +338,14 @@
     fixtures.run(play)
 
 
-def test_births_are_whole_numbers() -> None:
+def test_start_times_are_integers() -> None:
     """An entry whose birth is none names no target."""
     for born in ("1", 1.5, True, None, [1]):
         spec = {"service": "s", "address": "10.0.0.1:80", "born": born}
         assert not isinstance(wire.target("i1", spec, 1), roster_lib.Listing)
 
 
-def test_a_start_that_the_list_tells_last_is_never_lost() -> None:
+def test_an_incarnation_that_is_listed_last_is_never_lost() -> None:
     """A target that has restarted twice gets no work from a gateway, for good.
 
     The process beside it sees the third start follow the first, and tells;
@@ -354,7 +354,7 @@
     last, was passed over.
     """
     roster = _roster(born_ms=1_000)
-    third = incarnation.Start("i1", 3_000)
+    third = incarnation.IncarnationId("i1", 3_000)
     assert roster.restarted(third, 1_000) is not None
     roster.upsert(_listing(born_ms=2_000, changed_at=4))
     roster.upsert(_listing(born_ms=3_000, changed_at=5))
--- a/tests/fleet/test_store_restored.py
+++ b/tests/fleet/test_store_restored.py
@@ -151,7 +151,7 @@
             assert "i-new" in _usable(gateway)
             fleet.store.put(TARGETS, "i-new", registered)
             await _has_read_all(fleet, gateway)
-            assert not gateway.roster.members["i-new"].lapses_at_ms
+            assert not gateway.roster.members["i-new"].expires_at_ms
 
     fixtures.run(play)
 
@@ -236,7 +236,7 @@
                 "0" * 32,
                 tuple(
                     crash_evidence.Observation(
-                        incarnation.Start(f"i-{number}", 1),
+                        incarnation.IncarnationId(f"i-{number}", 1),
                         now_ms - 1_000 * number - 100,
                         now_ms - 1_000 * number,
                     )
@@ -291,9 +291,9 @@
     roster.upsert(_listing())
     assert roster.remove("i-1", 1_000)
     assert roster.upsert(_listing(era=2)) is None
-    assert not roster.release_restored(1_001)
+    assert not roster.apply_withheld(1_001)
     later_ms = 1_000 + roster_lib.REMOVED_RETENTION_MS
-    (member,) = roster.release_restored(later_ms)
+    (member,) = roster.apply_withheld(later_ms)
     assert roster.usable(platform_site.PLAIN, later_ms) == [member]
 
 
@@ -321,10 +321,10 @@
     roster.upsert(_listing(changed_at=84, born_ms=2))
     roster.begin_grace(1_000)
     roster.upsert(_listing(era=2, born_ms=1))
-    assert not roster.release_restored(1_001)
+    assert not roster.apply_withheld(1_001)
     assert roster.members["i-1"].listing.born_ms == 2
     roster.upsert(_listing(era=2, changed_at=61, born_ms=2, leaving=True))
-    assert not roster.release_restored(5_000)
+    assert not roster.apply_withheld(5_000)
     assert not roster.usable(platform_site.PLAIN, 5_000)
 
 
@@ -334,7 +334,7 @@
     roster.upsert(_listing(changed_at=84))
     roster.begin_grace(1_000)
     roster.upsert(_listing(era=2, changed_at=61, born_ms=3))
-    (member,) = roster.release_restored(5_000)
+    (member,) = roster.apply_withheld(5_000)
     assert member.listing.born_ms == 3
     # The previous start is not marked as over and may register again.
     roster.upsert(_listing(era=2, changed_at=70, born_ms=1))
--- a/tests/fleet/test_target_news.py
+++ b/tests/fleet/test_target_news.py
@@ -206,22 +206,24 @@
     assert not roster.usable(platform_site.PLAIN, 3_000)
     assert roster.backoff_ms(platform_site.PLAIN, 3_000) == 4_000
     assert roster.usable(platform_site.PLAIN, 31_000) == [first, second]
-    roster.back_off(first, 10 * roster_lib.MAX_REST_MS, 40_000)
-    later_ms = 40_000 + roster_lib.MAX_REST_MS
+    roster.back_off(first, 10 * roster_lib.MAX_BACKOFF_MS, 40_000)
+    later_ms = 40_000 + roster_lib.MAX_BACKOFF_MS
     assert first in roster.usable(platform_site.PLAIN, later_ms)
 
 
 def test_who_said_that_it_leaves_is_remembered_within_bounds() -> None:
     """Starts come and go for years; memory holds the newest words."""
     roster = roster_lib.Roster(2_500)
-    count = 3 * roster_lib.MAX_LEAVERS
-    starts = [incarnation.Start(f"i{number}", 1) for number in range(count)]
-    for start in starts:
-        assert roster.leaves(start)
-        assert not roster.leaves(start)
-    remembered = [one for one in starts if roster.said_to_leave(one)]
-    assert remembered == starts[-roster_lib.MAX_LEAVERS :]
-    assert not roster.said_to_leave(incarnation.Start(starts[-1].name, 2))
+    count = 3 * roster_lib.MAX_REMEMBERED_TARGETS
+    starts = [
+        incarnation.IncarnationId(f"i{number}", 1) for number in range(count)
+    ]
+    for incarnation_id in starts:
+        assert roster.mark_draining(incarnation_id)
+        assert not roster.mark_draining(incarnation_id)
+    remembered = [one for one in starts if roster.is_draining(one)]
+    assert remembered == starts[-roster_lib.MAX_REMEMBERED_TARGETS :]
+    assert not roster.is_draining(incarnation.IncarnationId(starts[-1].name, 2))
 
 
 def test_an_answer_speaks_only_of_who_gave_it() -> None:
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -7,9 +7,9 @@
 from radishstack import result
 from radishstack.connection import fleet_wire
 from radishstack.process import sliding_sum
-from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
+from radishstack.process import usage_shares
 from standins import platform_engine
 from standins import platform_site
 
@@ -20,29 +20,29 @@
 KEY = "k3y-of-the-crew-9f1c"
 BEARER = f"Bearer {KEY}"
 ACCOUNT = "crew"
-RULES = usage_books.Rules(8_000)
+RULES = usage_shares.Rules(8_000)
 CAP = usage_cap.UsageCap(100.0, 200.0, usage_cap.CostUnit.TOKEN, 10.0)
-WHOLE = RULES.bucket(CAP)
+TOTAL = RULES.bucket(CAP)
 # What one of four gateways may send at once.
-PART = WHOLE.depth / 4
+SHARE = TOTAL.depth / 4
 STARTED_MS = 1_000_000
 NOW_MS = STARTED_MS + 60_000
 
 
-def _books(
+def _shares(
     count: int = 4,
-    rules: usage_books.Rules = RULES,
+    rules: usage_shares.Rules = RULES,
     started_ms: int = STARTED_MS,
-) -> usage_books.UsageBooks:
+) -> usage_shares.UsageShares:
     names = [f"gateway{number}" for number in range(1, count)]
-    return usage_books.UsageBooks(
+    return usage_shares.UsageShares(
         rules, lambda: names, lambda: count, started_ms, random.Random(1)
     )
 
 
-def _spend_own_part(books: usage_books.UsageBooks) -> None:
-    assert books.book(ACCOUNT, CAP, PART, NOW_MS) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS) is None
+def _spend_share(shares: usage_shares.UsageShares) -> None:
+    assert shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS) is None
 
 
 async def _cap(fleet: fixtures.Fleet, **fields: Any) -> None:
@@ -64,115 +64,117 @@
     ]
 
 
-def test_no_window_sums_to_more_than_is_told() -> None:
+def test_a_sliding_sum_is_never_too_small() -> None:
     """Guards against a sum that begins anew at a boundary."""
     source = random.Random(3)
-    told = sliding_sum.SlidingSum(1_000, 50)
+    window_sum = sliding_sum.SlidingSum(1_000, 50)
     costs: list[tuple[int, float]] = []
     for now_ms in range(5_000, 12_000, 7):
         cost = source.choice((0.0, 1.0, 30.0))
-        told.add(cost, now_ms)
+        window_sum.add(cost, now_ms)
         costs.append((now_ms, cost))
         real = sum(one for at, one in costs if at > now_ms - 1_000)
-        assert told.total(now_ms) >= real
-        later_ms = now_ms + told.wait_ms(real / 2, now_ms)
-        assert told.total(now_ms) <= real / 2 or later_ms > now_ms
+        assert window_sum.total(now_ms) >= real
+        later_ms = now_ms + window_sum.wait_ms(real / 2, now_ms)
+        assert window_sum.total(now_ms) <= real / 2 or later_ms > now_ms
 
 
-def test_what_is_told_of_a_quiet_sum_falls_to_nothing() -> None:
+def test_a_sliding_sum_without_new_costs_drops_to_zero() -> None:
     """Guards against a sum that refuses for ever, or leaks memory."""
-    told = sliding_sum.SlidingSum(1_000, 50)
+    window_sum = sliding_sum.SlidingSum(1_000, 50)
     for now_ms in range(0, 100_000, 10):
-        told.add(0.1, now_ms)
-        told.total(now_ms)
-    assert len(told._starts_ms) <= 22
-    assert told.total(200_000) == 0.0
+        window_sum.add(0.1, now_ms)
+        window_sum.total(now_ms)
+    assert len(window_sum._starts_ms) <= 22
+    assert window_sum.total(200_000) == 0.0
 
 
-def test_a_gateway_keeps_to_its_part_unless_others_lend() -> None:
+def test_a_gateway_stays_within_its_share_and_its_loans() -> None:
     """Guards against gateways that each admit the whole cap."""
-    books = _books()
-    _spend_own_part(books)
-    (lender, ask), _ = books.ask(ACCOUNT, 10.0, NOW_MS)
+    shares = _shares()
+    _spend_share(shares)
+    (lender, ask), _ = shares.ask(ACCOUNT, 10.0, NOW_MS)
     assert lender.startswith("gateway")
-    other = _books()
+    other = _shares()
     loan = other.lend(ask, CAP, NOW_MS + 2)
     assert loan.amount >= 10.0
-    left = PART - loan.amount
-    books.on_loan(loan, NOW_MS + 4)
-    assert books.book(ACCOUNT, CAP, loan.amount, NOW_MS + 5) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS + 5) is None
+    left = SHARE - loan.amount
+    shares.on_loan(loan, NOW_MS + 4)
+    assert shares.reserve(ACCOUNT, CAP, loan.amount, NOW_MS + 5) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS + 5) is None
     # The lender has so much less.
-    assert other.book(ACCOUNT, CAP, left + 1.0, NOW_MS + 2) is None
-    assert other.book(ACCOUNT, CAP, left, NOW_MS + 2) is not None
+    assert other.reserve(ACCOUNT, CAP, left + 1.0, NOW_MS + 2) is None
+    assert other.reserve(ACCOUNT, CAP, left, NOW_MS + 2) is not None
 
 
-def test_a_loan_ends_by_the_clock_of_its_ask() -> None:
+def test_the_term_of_a_loan_begins_with_its_request() -> None:
     """Guards against a loan that is spent after its lender has forgotten it."""
-    books = _books()
-    _spend_own_part(books)
-    (_, ask), _ = books.ask(ACCOUNT, 50.0, NOW_MS)
+    shares = _shares()
+    _spend_share(shares)
+    (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
     loan = usage_loan.Loan(ACCOUNT, ask.number, 50.0, 0.0)
-    late_ms = NOW_MS + usage_loan.USABLE_MS
-    books.on_loan(loan, late_ms)
-    assert books.book(ACCOUNT, CAP, 50.0, late_ms) is None
+    late_ms = NOW_MS + usage_loan.LOAN_USABLE_MS
+    shares.on_loan(loan, late_ms)
+    assert shares.reserve(ACCOUNT, CAP, 50.0, late_ms) is None
 
 
 def test_a_loan_counts_once() -> None:
     """Guards against a datagram that comes twice, or unasked."""
-    books = _books()
-    _spend_own_part(books)
-    (_, ask), _ = books.ask(ACCOUNT, 50.0, NOW_MS)
+    shares = _shares()
+    _spend_share(shares)
+    (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
     loan = usage_loan.Loan(ACCOUNT, ask.number, 50.0, 0.0)
     for _ in range(2):
-        books.on_loan(loan, NOW_MS + 3)
-    books.on_loan(usage_loan.Loan(ACCOUNT, 7, 50.0, 0.0), NOW_MS + 3)
-    assert books.book(ACCOUNT, CAP, 50.0, NOW_MS + 4) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS + 4) is None
+        shares.on_loan(loan, NOW_MS + 3)
+    shares.on_loan(usage_loan.Loan(ACCOUNT, 7, 50.0, 0.0), NOW_MS + 3)
+    assert shares.reserve(ACCOUNT, CAP, 50.0, NOW_MS + 4) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS + 4) is None
 
 
-def test_a_request_that_did_not_run_is_given_back_once() -> None:
+def test_the_reservation_of_a_request_that_did_not_run_is_released_once() -> (
+    None
+):
     """Guards against a cap that shrinks with refusals of targets."""
-    books = _books()
-    booking = books.book(ACCOUNT, CAP, PART, NOW_MS)
+    shares = _shares()
+    booking = shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS)
     for _ in range(2):
-        books.give_back(booking)
-    _spend_own_part(books)
+        shares.release(booking)
+    _spend_share(shares)
 
 
 def test_a_started_process_begins_with_an_empty_bucket() -> None:
     """Guards against a restart that doubles an account's use."""
-    books = _books(started_ms=NOW_MS)
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS) is None
-    gained = WHOLE.per_ms / 4 * 400
-    assert gained < PART
-    assert books.book(ACCOUNT, CAP, gained + 1.0, NOW_MS + 400) is None
-    assert books.book(ACCOUNT, CAP, gained, NOW_MS + 400) is not None
+    shares = _shares(started_ms=NOW_MS)
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS) is None
+    gained = TOTAL.per_ms / 4 * 400
+    assert gained < SHARE
+    assert shares.reserve(ACCOUNT, CAP, gained + 1.0, NOW_MS + 400) is None
+    assert shares.reserve(ACCOUNT, CAP, gained, NOW_MS + 400) is not None
 
 
-def test_what_is_forgotten_was_full() -> None:
+def test_only_accounts_with_full_buckets_are_dropped() -> None:
     """Guards against books that are dropped and opened again with more."""
-    books = _books(started_ms=NOW_MS - 60_000)
-    _spend_own_part(books)
-    books.forget(NOW_MS + 100)
-    assert books.book(ACCOUNT, CAP, PART, NOW_MS + 100) is None
+    shares = _shares(started_ms=NOW_MS - 60_000)
+    _spend_share(shares)
+    shares.forget(NOW_MS + 100)
+    assert shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS + 100) is None
     # A deep bucket takes longer to fill than a window.
-    deep = _books(rules=usage_books.Rules(8_000, 0.0, 10_000.0), started_ms=0)
-    depth = usage_books.Rules(8_000, 0.0, 10_000.0).bucket(CAP).depth / 4
-    assert deep.book(ACCOUNT, CAP, depth, NOW_MS) is not None
+    deep = _shares(rules=usage_shares.Rules(8_000, 0.0, 10_000.0), started_ms=0)
+    depth = usage_shares.Rules(8_000, 0.0, 10_000.0).bucket(CAP).depth / 4
+    assert deep.reserve(ACCOUNT, CAP, depth, NOW_MS) is not None
     deep.forget(NOW_MS + 20_000)
-    assert deep.book(ACCOUNT, CAP, depth, NOW_MS + 20_000) is None
+    assert deep.reserve(ACCOUNT, CAP, depth, NOW_MS + 20_000) is None
     later_ms = NOW_MS + 20_000
-    books.forget(later_ms)
-    assert not books.report(later_ms)
-    assert books.book(ACCOUNT, CAP, PART, later_ms) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, later_ms) is None
+    shares.forget(later_ms)
+    assert not shares.report(later_ms)
+    assert shares.reserve(ACCOUNT, CAP, SHARE, later_ms) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, later_ms) is None
 
 
 def test_no_window_holds_more_than_a_bucket_and_its_loans() -> None:
     """Guards against a bucket that is larger than the rules allow."""
     for overage, tolerance in ((0.0, 0.0), (0.1, 0.0), (0.1, 110_000.0)):
-        rules = usage_books.Rules(8_000, overage, tolerance)
+        rules = usage_shares.Rules(8_000, overage, tolerance)
         for burst in (0.0, 100.0, 120_000.0):
             cap = usage_cap.UsageCap(120_000.0, burst)
             limit = cap.limit(rules.window_ms)
@@ -185,36 +187,36 @@
 
 def test_a_large_request_gathers_loans() -> None:
     """Guards against a large request that no single part ever pays for."""
-    names = {f"gateway{number}": _books() for number in range(1, 4)}
-    books = _books()
-    cost, now_ms = 2.5 * PART, NOW_MS
+    names = {f"gateway{number}": _shares() for number in range(1, 4)}
+    shares = _shares()
+    cost, now_ms = 2.5 * SHARE, NOW_MS
     for _ in range(3):
-        missing = books.missing(ACCOUNT, CAP, cost, now_ms)
-        for lender, ask in books.ask(ACCOUNT, missing, now_ms):
+        missing = shares.missing(ACCOUNT, CAP, cost, now_ms)
+        for lender, ask in shares.ask(ACCOUNT, missing, now_ms):
             loan = names[lender].lend(ask, CAP, now_ms + 1)
-            books.on_loan(loan, now_ms + 2)
+            shares.on_loan(loan, now_ms + 2)
         now_ms += 3
-    assert books.book(ACCOUNT, CAP, cost, now_ms) is not None
+    assert shares.reserve(ACCOUNT, CAP, cost, now_ms) is not None
 
 
-def test_at_the_cap_others_are_asked_seldom() -> None:
+def test_few_loan_requests_are_sent_at_the_cap() -> None:
     """Guards against a rush that becomes a storm of datagrams."""
-    books = _books(count=40)
-    _spend_own_part_of(books, WHOLE.depth / 40)
+    shares = _shares(count=40)
+    _spend(shares, TOTAL.depth / 40)
     asked = 0
     for now_ms in range(NOW_MS, NOW_MS + 1_000, 5):
-        for _, ask in books.ask(ACCOUNT, 5.0, now_ms):
+        for _, ask in shares.ask(ACCOUNT, 5.0, now_ms):
             asked += 1
             loan = usage_loan.Loan(ACCOUNT, ask.number, 0.0, 0.0)
-            books.on_loan(loan, now_ms)
-    assert asked <= 5 * usage_books.MAX_ASKED_IN_VAIN, asked
+            shares.on_loan(loan, now_ms)
+    assert asked <= 5 * usage_shares.MAX_FAILED_LOAN_REQUESTS, asked
 
 
-def _spend_own_part_of(books: usage_books.UsageBooks, part: float) -> None:
-    assert books.book(ACCOUNT, CAP, part, NOW_MS) is not None
+def _spend(shares: usage_shares.UsageShares, cost: float) -> None:
+    assert shares.reserve(ACCOUNT, CAP, cost, NOW_MS) is not None
 
 
-def test_the_overshoot_stays_within_what_is_allowed() -> None:
+def test_the_overshoot_stays_within_the_allowed_one() -> None:
     """Guards against a cap that is lent twice, in touch or cut off."""
     for scenario in bench.SCENARIOS:
         figures = bench.play("borrowing", scenario, 21, seed=11)
@@ -249,16 +251,16 @@
         assert sent >= 0.8 * bench.CAP.rate_per_s, second
 
 
-def test_an_account_far_below_its_cap_costs_next_to_nothing() -> None:
+def test_an_account_far_below_its_cap_causes_few_messages() -> None:
     """Guards against a cost of caps that grows with accounts."""
     (usual, *_) = bench.SCENARIOS
     assert bench.play("borrowing", usual, 21, seed=5)["bytes_per_s"] < 50
 
 
-def test_messages_survive_their_wire() -> None:
+def test_messages_are_decoded_as_they_were_encoded() -> None:
     """Guards against amounts that are no amounts."""
     for message in (
-        usage_loan.Ask(ACCOUNT, 2**31, 9_190.0, 12_000.5),
+        usage_loan.LoanRequest(ACCOUNT, 2**31, 9_190.0, 12_000.5),
         usage_loan.Loan(ACCOUNT, 2**31, 0.0, 17.25),
     ):
         assert fleet_wire.decode(fleet_wire.encode(message)) == message
@@ -267,7 +269,7 @@
         assert isinstance(fleet_wire.decode(bad), result.Failure)
 
 
-def test_a_cap_holds_over_two_gateways_and_says_when_to_return() -> None:
+def test_a_cap_holds_over_two_gateways_and_sets_retry_after() -> None:
     """Guards against a cap of each gateway, and a 429 that says nothing."""
 
     async def play() -> None:
@@ -309,13 +311,13 @@
     fixtures.run(play)
 
 
-def test_what_a_target_refuses_costs_nothing() -> None:
+def test_requests_that_a_target_rejects_do_not_count() -> None:
     """Guards against requests that count though no target ran them."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
-            books = fleet.gateway.usage_caps._books
-            books._started_ms -= 60_000
+            shares = fleet.gateway.usage_caps._books
+            shares._started_ms -= 60_000
             await _cap(fleet, ratePerS=1_000.0, burst=100)
             (target,) = fleet.targets.values()
             target.fault = lambda seen: platform_engine.Fault.SHED
@@ -330,7 +332,7 @@
     fixtures.run(play)
 
 
-def test_the_proof_meets_accounts_at_their_cap() -> None:
+def test_the_proof_reaches_the_cap() -> None:
     """Guards against a world in which no cap ever binds."""
     before = usage.COUNTS["judged at the cap"]
     world = usage.World(
--- a/tests/stack/test_dissemination.py
+++ b/tests/stack/test_dissemination.py
@@ -10,12 +10,14 @@
 ROUNDS = 40
 
 
-def _raised(version: int) -> dissemination.Raised:
+def _commit_applied(version: int) -> dissemination.CommitApplied:
     audit = commit_lib.AuditRecord("o", 0, version - 1, "")
     commit = commit_lib.Commit(
         f"w{version}", version, f"w{version - 1}" * (version > 1), (), audit
     )
-    return dissemination.Raised(version, commit_lib.encode_commit(commit))
+    return dissemination.CommitApplied(
+        version, commit_lib.encode_commit(commit)
+    )
 
 
 def _spread(loss: float, versions: int) -> list[int]:
@@ -42,17 +44,19 @@
                 case dissemination.PushCommit(to=to, data=data):
                     commit = commit_lib.decode_commit(data)
                     if commit.version == member.version + 1:
-                        raised = dissemination.Raised(commit.version, data)
-                        send(to, member.handle(raised, 0))
+                        applied = dissemination.CommitApplied(
+                            commit.version, data
+                        )
+                        send(to, member.handle(applied, 0))
                 case dissemination.SendDigest(to=to, reply=reply):
-                    heard = dissemination.DigestHeard(
+                    digest = dissemination.DigestReceived(
                         sender, members[sender].version, reply, ()
                     )
-                    send(to, member.handle(heard, 0))
+                    send(to, member.handle(digest, 0))
 
     for version in range(1, versions + 1):
-        raised = _raised(version)
-        send(addresses[0], members[addresses[0]].handle(raised, 0))
+        applied = _commit_applied(version)
+        send(addresses[0], members[addresses[0]].handle(applied, 0))
         drain()
     for _ in range(ROUNDS):
         for address in addresses:
@@ -61,44 +65,44 @@
     return [member.version for member in members.values()]
 
 
-def test_every_member_learns_through_losses() -> None:
+def test_versions_reach_every_member_despite_losses() -> None:
     """A fifth of the datagrams is lost; nobody stays behind."""
     assert set(_spread(LOSS, 12)) == {12}
 
 
-def test_old_and_repeated_news_changes_nothing() -> None:
+def test_old_and_repeated_events_change_nothing() -> None:
     """A digest or commit that is old never lowers a version."""
     member = dissemination.Dissemination(
         ("10.0.0.1", 1), random_source=random.Random(1)
     )
-    member.handle(_raised(1), 0)
-    member.handle(_raised(2), 0)
-    assert member.handle(_raised(1), 0) == []
-    member.handle(dissemination.Jumped(1), 0)
+    member.handle(_commit_applied(1), 0)
+    member.handle(_commit_applied(2), 0)
+    assert member.handle(_commit_applied(1), 0) == []
+    member.handle(dissemination.VersionAdvanced(1), 0)
     assert member.version == 2
 
 
-def test_a_peer_that_lags_is_sent_what_it_lacks() -> None:
+def test_a_peer_that_lags_behind_gets_the_missing_commits() -> None:
     """The answer to an old digest is the commits after it, in order."""
     member = dissemination.Dissemination(
         ("10.0.0.1", 1), random_source=random.Random(1)
     )
     for version in range(1, 6):
-        member.handle(_raised(version), 0)
-    heard = dissemination.DigestHeard(("10.0.0.2", 2), 2, False, ())
+        member.handle(_commit_applied(version), 0)
+    digest = dissemination.DigestReceived(("10.0.0.2", 2), 2, False, ())
     pushed = [
         commit_lib.decode_commit(action.data).version
-        for action in member.handle(heard, 0)
+        for action in member.handle(digest, 0)
     ]
     assert pushed == [3, 4, 5]
 
 
-def test_news_of_leaving_is_passed_on_and_forgotten() -> None:
+def test_draining_targets_are_forwarded_until_they_expire() -> None:
     """Names heard are told for a while, then dropped."""
     member = dissemination.Dissemination(
         ("10.0.0.1", 1), random_source=random.Random(1)
     )
-    heard = dissemination.DigestHeard(("10.0.0.2", 2), 0, False, ("t-1",))
-    member.handle(heard, 1_000)
-    assert member.leaving_names(2_000) == ("t-1",)
-    assert member.leaving_names(60_000) == ()
+    digest = dissemination.DigestReceived(("10.0.0.2", 2), 0, False, ("t-1",))
+    member.handle(digest, 1_000)
+    assert member.draining_names(2_000) == ("t-1",)
+    assert member.draining_names(60_000) == ()
--- a/tests/stack/test_ledger.py
+++ b/tests/stack/test_ledger.py
@@ -18,7 +18,7 @@
     )
 
 
-def test_seal_outlives_a_refused_claim() -> None:
+def test_a_seal_is_kept_after_a_rejected_claim() -> None:
     """A key sealed for another target is never run without asking it.
 
     Symptom: a booking made twice while its service moved. Sequence: the new
@@ -30,10 +30,12 @@
     """
     ledger = ledger_lib.Ledger(quarantine_until_ms=0)
     sealing = ledger.seal(KEY, asker="desk-2", window_ms=1_000, now_ms=5)
-    assert sealing is ledger_lib.Sealing.SEALED
+    assert sealing is ledger_lib.SealReply.SEALED
     _claim(ledger, b"1", ledger_lib.KeyState.ASKING)
     ledger.refuse(KEY, 20)
-    record = ledger.judge(KEY, digest=b"d", accepted_at_ms=30, now_ms=30).record
+    record = ledger.decide(
+        KEY, digest=b"d", accepted_at_ms=30, now_ms=30
+    ).record
     assert record.sealed_for == ("desk-2",)
     ledger.expire(10_000)
     assert KEY in ledger.records
@@ -47,11 +49,11 @@
     assert ledger.records[KEY].sealed_for == ("desk-2", "desk-3")
 
 
-def test_full_ledger_refuses_instead_of_forgetting() -> None:
+def test_a_full_ledger_rejects_new_keys() -> None:
     """Forgetting one key early to make room could run it twice."""
     ledger = ledger_lib.Ledger(quarantine_until_ms=0, max_records=1)
     _claim(ledger, b"1", ledger_lib.KeyState.QUEUED)
-    verdict = ledger.judge(
+    verdict = ledger.decide(
         ("booking", "other"), digest=b"d", accepted_at_ms=1, now_ms=1
     ).verdict
     assert verdict is ledger_lib.Verdict.FULL
