--- a/packages/radishstack/src/radishstack/process/__init__.py
+++ b/packages/radishstack/src/radishstack/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one process."""
+"""State that lives as long as one process."""
--- a/packages/radishstack/src/radishstack/process/crash.py
+++ b/packages/radishstack/src/radishstack/process/crash.py
@@ -1,4 +1,4 @@
-"""What a gateway sees of a target that ends while it runs requests."""
+"""Crash of a target, as one gateway observes it."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspect:
-    """One request that a target was running as it ended.
+    """A request that was running on a target when the target crashed.
 
     Attributes:
-        fingerprint: What it asks, see ``request.fingerprint``.
-        began_at_ms: When it was sent there.
+        fingerprint: Identifies equal requests, see ``request.fingerprint``.
+        began_at_ms: When the request was sent to the target.
     """
 
     fingerprint: str
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of one start of a target.
+    """The crash of one incarnation of a target.
 
     Attributes:
-        start: The start that ended.
+        incarnation_id: The incarnation that crashed.
         at_ms: When its connections broke.
-        suspects: The requests of this gateway that it was running.
+        suspects: Requests of this gateway that were running on the target.
     """
 
     incarnation_id: incarnation.IncarnationId
--- a/packages/radishstack/src/radishstack/process/crash_evidence.py
+++ b/packages/radishstack/src/radishstack/process/crash_evidence.py
@@ -1,13 +1,14 @@
-"""Which requests end the targets that run them.
+"""Detects requests that crash the targets that run them.
 
-A target that ends takes all that it runs with it: up to a full batch of
-requests, of which one at most is to blame. What tells that one is that it was
-there each time, and that no equal request has ended well since. Gateways join
-what they saw, so one that comes back at another gateway is known there too.
+All requests on a crashing target fail with it: up to a full batch, of which at
+most one caused the crash. That one is identified because it was running at
+every crash and no equal request has succeeded since. Gateways merge their
+observations, so a request is also recognized at a gateway that did not see the
+crashes.
 
-The load pattern: a request that comes again every second or so, at any
-gateway, alone or twice at once, and ends each target some hundred
-milliseconds after it was sent.
+Load pattern: a request that is repeated about every second, at any gateway,
+alone or as two concurrent copies, and crashes each target a few hundred
+milliseconds after it is sent.
 """
 
 from collections.abc import Iterator
@@ -16,54 +17,60 @@
 from radishstack.process import crash as crash_lib
 from radishstack.process import incarnation
 
-# A request is held to end targets once so many ended under it, at moments
-# apart, and at least so many of the sends came after the one before had ended
-# its target. One cut of power ends many targets, but at one moment.
+# A request is quarantined after MIN_CRASHES crashes at different times, of
+# which at least MIN_CONSECUTIVE were consecutive: the request was sent after
+# the previous target had crashed. A power cut crashes many targets at one time.
 MIN_CRASHES = 3
 MIN_CONSECUTIVE = 2
-# What ends targets never ends well. A request that did so lately stands at a
-# crash by chance, as one of the popular ones always does, unless targets go on
-# ending under it: a new version may have made it one.
+# A request that crashes targets never succeeds. One that succeeded within this
+# time before its first crash was running there by chance, as a popular request
+# always is. It is still quarantined after MIN_CRASHES_IF_SERVED crashes,
+# because a new version can turn it into one that crashes targets.
 RECENT_SUCCESS_MS = 60_000
 MIN_CRASHES_IF_SERVED = 10
 MAX_SUCCESSES = 4_096
-# Crashes within this time count as one, if the request was sent before the
-# first: a cut of power, or a rack that fails.
+# Crashes within this time count as one if the request was sent before the first
+# of them: a power cut or a rack failure.
 SIMULTANEOUS_MS = 250
-# Where another request was at the last crash and at as many before, either
-# may be the one: one more crash tells them apart, or both are refused.
+# Additional crashes that are required if another request was running at the
+# last crash and at as many crashes in total. One more crash either
+# distinguishes the two or quarantines both.
 AMBIGUOUS_EXTRA_CRASHES = 1
-# Word of a crash comes some milliseconds after it, so a request that is sent
-# again at once seems to have been sent before.
+# A crash is observed some milliseconds after it happens, so a request that is
+# resent immediately seems to have been sent before the crash.
 REPORT_LAG_MS = 25
-# For how long it is refused before one is tried: an innocent one is back after
-# minutes, and one that goes on ending targets ends three more in its first day.
+# Duration of the first quarantine, after which one request is sent as a trial;
+# each further crash multiplies it by QUARANTINE_GROWTH. A harmless request is
+# served again within minutes, and a harmful one crashes only three more targets
+# on its first day.
 QUARANTINE_MS = 5 * 60_000
 QUARANTINE_GROWTH = 6
-# The same where others that recur stood at the crashes, but for fewer than so
-# many: while several requests end targets, a popular one stands beside them
-# each time, and refused everywhere it cannot end well.
+# Duration of the quarantine if another suspect of several crashes was running
+# at all but fewer than MIN_CRASHES_ALONE of the crashes. While several requests
+# crash targets, a popular request runs beside them each time, and could not
+# succeed if all gateways rejected it. Also the interval between the gateways'
+# turns to send a trial.
 TRIAL_DELAY_MS = 10_000
 MIN_CRASHES_ALONE = 2
-# How long after its last crash a request is under suspicion; one crash alone
-# says little, and a site has some each hour.
+# How long a suspect is kept after its last crash. A single crash is weak
+# evidence, and a site has a few every hour.
 SINGLE_CRASH_RETENTION_MS = 3_600_000
 REPEATED_CRASH_RETENTION_MS = 24 * 3_600_000
 MAX_RECORDS = 2_048
 MAX_OBSERVATIONS = 16
-# Before all times: clocks count from a VM's start, and a crash that is told of
-# may lie before it.
+# Earlier than any other time. Clocks count from the start of the VM, and a
+# crash that another gateway reports may have happened before that.
 NEVER_MS = -(2**62)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """One crash with one request running.
+    """A crash at which a request was running.
 
     Attributes:
-        start: The start of a target that ended.
-        began_at_ms: When the request was sent there.
-        ended_at_ms: When the target ended.
+        incarnation_id: The incarnation of a target that crashed.
+        began_at_ms: When the request was sent to the target.
+        ended_at_ms: When the target crashed.
     """
 
     incarnation_id: incarnation.IncarnationId
@@ -73,13 +80,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """What is known against one request.
+    """The evidence about one request.
 
     Attributes:
-        fingerprint: The request's.
-        observations: Crashes with it running.
-        cleared_at_ms: When an equal request ended well last, as far as that
-            is remembered. Crashes until then are not counted.
+        fingerprint: Fingerprint of the request.
+        observations: Crashes at which it was running, in order.
+        cleared_at_ms: When an equal request last succeeded, ``NEVER_MS`` if
+            unknown. Crashes up to that time do not count.
     """
 
     fingerprint: str
@@ -89,14 +96,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quarantine:
-    """A request that is held to end targets.
+    """A request that is rejected because it presumably crashes targets.
 
     Attributes:
-        moments: Moments at which targets ended under it.
-        last_at_ms: The last of them.
-        until_ms: Until when all of it is refused; from then on one is to be
-            tried, see ``may_try``.
-        left_ms: How long that is from now, 0 if it is past.
+        moments: Number of crashes; simultaneous ones count as one.
+        last_at_ms: When the last of them happened.
+        until_ms: Until when all copies are rejected. After that, one is sent
+            as a trial, see ``may_send_trial``.
+        left_ms: Time from now until then, 0 if it has passed.
     """
 
     moments: int
@@ -106,10 +113,10 @@
 
 
 class CrashEvidence:
-    """What one gateway knows of requests that were running at crashes."""
+    """The evidence of one gateway about suspects of crashes."""
 
     def __init__(self) -> None:
-        """Starts with none."""
+        """Starts without evidence."""
         self._records: dict[str, Record] = {}
         self._suspects_by_incarnation: dict[
             incarnation.IncarnationId, set[str]
@@ -118,19 +125,23 @@
 
     @property
     def success_count(self) -> int:
-        """How many requests are remembered that ended well."""
+        """Number of remembered requests that succeeded."""
         return len(self._succeeded_at_ms)
 
     def __len__(self) -> int:
-        """How many requests are under suspicion."""
+        """Returns the number of suspects."""
         return len(self._records)
 
     def record(self, fingerprint: str) -> Record:
-        """Returns what is known against a request."""
+        """Returns the evidence about a request."""
         return self._records.get(fingerprint, Record(fingerprint))
 
     def crashed(self, crash: crash_lib.Crash) -> list[Record]:
-        """Records a crash that was seen here; returns what to report."""
+        """Records a crash that this gateway observed.
+
+        Returns:
+            The records to report to other gateways.
+        """
         records = [
             Record(
                 one.fingerprint,
@@ -155,9 +166,9 @@
         """Records that a request completed without a crash.
 
         Returns:
-            What to tell others, None if it was under no suspicion.
+            The record to report to others, None if it was not a suspect.
         """
-        # The one that ended well last goes last: the oldest is dropped.
+        # Moves the request to the end, so that the oldest one is dropped.
         self._succeeded_at_ms.pop(fingerprint, None)
         self._succeeded_at_ms[fingerprint] = now_ms
         if len(self._succeeded_at_ms) > MAX_SUCCESSES:
@@ -170,7 +181,7 @@
         return record
 
     def take(self, record: Record) -> bool:
-        """Joins what is told of a request; returns whether it was news."""
+        """Merges a reported record; returns whether it changed the evidence."""
         known = self._records.get(record.fingerprint)
         if known is None:
             if not record.observations:
@@ -193,10 +204,11 @@
         return True
 
     def missed_clearance(self, report: Record) -> Record | None:
-        """Returns what who told a record has not heard, if anything.
+        """Returns a clearance that the sender of a report does not know.
 
-        What cleared a request leaves nothing to pass on, and who refuses it
-        never sees it end well: a lost word would be lost for good.
+        A cleared request has no crashes left to report, and a gateway that
+        rejects the request never sees it succeed. Without this answer, a
+        gateway that lost the message about the success would never learn of it.
         """
         known = self._records.get(report.fingerprint)
         if known is None or not report.observations:
@@ -204,7 +216,7 @@
         cleared_at_ms = known.cleared_at_ms
         if report.cleared_at_ms >= cleared_at_ms:
             return None
-        # A later crash that it tells of says nothing of what it has heard.
+        # The sender may know a later crash without knowing the clearance.
         missed = report.observations[0].ended_at_ms <= cleared_at_ms
         knows_of_success = _succeeded_recently(report)
         with_clearance = dataclasses.replace(
@@ -234,7 +246,7 @@
                 del self._suspects_by_incarnation[observation.incarnation_id]
 
     def quarantine(self, fingerprint: str, now_ms: int) -> Quarantine | None:
-        """Says whether a request is to be refused, None if it is not."""
+        """Returns the quarantine of a request, None if there is none."""
         record = self._records.get(fingerprint)
         if record is None or not record.observations:
             return None
@@ -259,7 +271,7 @@
         return Quarantine(crash_count, last_at_ms, until_ms, left_ms)
 
     def _quarantine_duration_ms(self, record: Record, crash_count: int) -> int:
-        """Returns how long after the last crash one is to be tried."""
+        """Returns the time from the last crash to the first trial."""
         alone = [
             observation
             for observation in record.observations
@@ -270,16 +282,17 @@
         return QUARANTINE_MS * QUARANTINE_GROWTH ** (crash_count - MIN_CRASHES)
 
     def may_send_trial(self, fingerprint: str, now_ms: int, rank: int) -> bool:
-        """Whether a gateway may send a request that is refused, to try it.
+        """Whether a gateway may send a quarantined request as a trial.
 
-        Let through everywhere at once, a popular one would end a target for
-        each gateway. The gateways' turns come one after the other, in an order
-        that all of them know; the first may be gone, or never be asked.
+        If all gateways sent a popular request at once, it could crash one
+        target per gateway. The gateways therefore take turns in an order that
+        they all know. All of them get a turn, because the first one may be down
+        or may not receive the request.
 
         Args:
-            fingerprint: The request's.
+            fingerprint: Fingerprint of the request.
             now_ms: Now.
-            rank: Place of the gateway in that order.
+            rank: Position of the gateway in that order.
         """
         quarantine = self.quarantine(fingerprint, now_ms)
         if quarantine is None:
@@ -289,7 +302,7 @@
     def _was_alone(
         self, fingerprint: str, incarnation_id: incarnation.IncarnationId
     ) -> bool:
-        """Whether no other request that recurs was at a crash."""
+        """Whether no other suspect of several crashes was at a crash."""
         others = self._suspects_by_incarnation.get(incarnation_id, set()) - {
             fingerprint
         }
@@ -298,7 +311,7 @@
         )
 
     def _is_ambiguous(self, record: Record, crash_count: int) -> bool:
-        """Whether another request was there as often as this one."""
+        """Whether a suspect of the last crash was at as many crashes."""
         others = self._suspects_by_incarnation.get(
             record.observations[-1].incarnation_id, set()
         )
@@ -308,13 +321,13 @@
         )
 
     def recurring(self) -> Iterator[Record]:
-        """Yields the requests that were running at more than one crash."""
+        """Yields the suspects of more than one crash."""
         for record in self._records.values():
             if len(record.observations) > 1:
                 yield record
 
     def quarantined(self, now_ms: int) -> dict[str, Quarantine]:
-        """Returns the requests that are refused, by fingerprint."""
+        """Returns the quarantined requests by fingerprint."""
         quarantines = {
             record.fingerprint: self.quarantine(record.fingerprint, now_ms)
             for record in self.recurring()
@@ -324,14 +337,14 @@
         }
 
     def forget(self, now_ms: int) -> None:
-        """Drops what is too old to count."""
+        """Drops expired records."""
         for record in list(self._records.values()):
             if is_expired(record, now_ms):
                 self._remove(record.fingerprint)
 
 
 def is_expired(record: Record, now_ms: int) -> bool:
-    """Whether a record is too old to count."""
+    """Whether a record has passed its retention time."""
     kept_ms = (
         REPEATED_CRASH_RETENTION_MS
         if len(record.observations) > 1
@@ -348,7 +361,7 @@
 
 
 def _retention_priority(record: Record) -> tuple[int, int]:
-    """Orders records by what they tell: crashes, then how late the last was."""
+    """Orders records by number of crashes, then by time of the last event."""
     return len(record.observations), _last_ms(record)
 
 
@@ -359,7 +372,7 @@
     }
     for observation in other.observations:
         known = by_incarnation.get(observation.incarnation_id, observation)
-        # Word of it comes late, so the earliest is nearest to the truth.
+        # Crashes are observed late, so the earliest time is the most accurate.
         by_incarnation[observation.incarnation_id] = min(
             known, observation, key=lambda seen: seen.ended_at_ms
         )
@@ -378,15 +391,15 @@
 
 
 def _succeeded_recently(record: Record) -> bool:
-    """Whether an equal request ended well shortly before the first crash."""
+    """Whether an equal request succeeded shortly before the first crash."""
     first_ms = record.observations[0].ended_at_ms
     return first_ms - record.cleared_at_ms <= RECENT_SUCCESS_MS
 
 
 def _count_crashes(record: Record) -> int:
-    """Counts the crashes of a record, those of one moment once.
+    """Counts the crashes of a record; simultaneous ones count as one.
 
-    A request that was sent after a crash cannot be a victim of the same cut.
+    A request that was sent after a crash cannot have failed in the same outage.
     """
     count = 0
     at_ms = NEVER_MS
@@ -399,7 +412,7 @@
 
 
 def _count_consecutive(record: Record) -> int:
-    """Counts sends that each began after the one before had crashed."""
+    """Counts consecutive crashes: each send began after the previous crash."""
     count = 0
     earliest_send_ms = NEVER_MS
     for observation in record.observations:
--- a/packages/radishstack/src/radishstack/process/dissemination.py
+++ b/packages/radishstack/src/radishstack/process/dissemination.py
@@ -1,10 +1,11 @@
-"""How a new version and news of leaving targets reach every process.
-
-Few processes watch the object API. A process that learns of a commit pushes
-it once to a few random peers, which reaches nearly all in a handful of hops;
-once a second each process tells one random peer which version it holds, and
-whoever is ahead sends what the other lacks, which reaches the rest. The cost
-per process does not depend on how many there are.
+"""Gossips new versions and the names of draining targets to all processes.
+
+Only a few processes watch the object API. A process that receives a commit
+pushes it once to a few random peers, which reaches nearly all processes within
+a few hops. Once per second, each process sends a digest with its version to one
+random peer; of the two, the one that is ahead sends the missing commits. This
+reaches the remaining processes. The cost per process does not depend on the
+number of processes.
 """
 
 from collections.abc import Sequence
@@ -18,15 +19,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DisseminationSettings:
-    """How hard news is pushed.
+    """Limits of the dissemination.
 
     Attributes:
-        fanout: Peers that a new commit is pushed to.
-        kept_commits: Commits kept to send to peers that lag.
-        max_commit_bytes: Largest commit that travels in a datagram; a peer
-            reads a larger one from the object API.
-        max_pushes: Commits sent in answer to one digest.
-        leaving_ms: How long news of a leaving target is passed on.
+        fanout: Number of peers that a new commit is pushed to.
+        kept_commits: Number of commits kept for peers that lag behind.
+        max_commit_bytes: Largest commit that is sent in a datagram. Peers read
+            larger ones from the object API.
+        max_pushes: Maximum number of commits sent in response to one digest.
+        draining_ms: How long the name of a draining target is forwarded.
     """
 
     fanout: int = 3
@@ -38,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CommitApplied:
-    """A commit came into force here.
+    """A commit came into force in this process.
 
     Attributes:
-        version: The version it made.
-        data: The commit as it travels.
+        version: The version that it created.
+        data: The encoded commit.
     """
 
     version: int
@@ -51,14 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionAdvanced:
-    """A version came into force here without its commits."""
+    """A version came into force in this process without its commits."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DigestReceived:
-    """A peer told which version it holds, and who leaves."""
+    """A peer sent its version and the names of draining targets."""
 
     sender: Address
     version: int
@@ -68,14 +69,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainingReported:
-    """The platform, or the target itself, says that targets leave."""
+    """The platform, or a target itself, reported draining targets."""
 
     names: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoundDue:
-    """A second has passed."""
+    """The periodic digest is due."""
 
 
 Event = (
@@ -89,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendDigest:
-    """Tell a peer which version is held."""
+    """Send a peer the version of this process."""
 
     to: Address
     reply: bool
@@ -105,7 +106,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadStore:
-    """Read the object API: a peer is further ahead than commits are kept."""
+    """Read the object API, because a peer no longer has the missing commits."""
 
 
 Action = SendDigest | PushCommit | ReadStore
@@ -113,7 +114,7 @@
 
 
 class Dissemination:
-    """What one process tells its peers."""
+    """The dissemination state of one process."""
 
     def __init__(
         self,
@@ -122,12 +123,12 @@
         random_source: random.Random,
         settings: DisseminationSettings | None = None,
     ) -> None:
-        """Starts holding nothing and knowing no peer.
+        """Starts without a version and without peers.
 
         Args:
-            own: This process's own address, which is never picked.
+            own: Address of this process, which is never picked as a peer.
             random_source: Picks the peers.
-            settings: How hard news is pushed.
+            settings: Limits of the dissemination.
         """
         self.own = own
         self.settings = settings or DisseminationSettings()
@@ -145,12 +146,12 @@
             now_ms: Monotonic clock.
 
         Returns:
-            What to send.
+            The messages to send.
         """
         return _handle(event, self, now_ms)
 
     def draining_names(self, now_ms: int) -> tuple[str, ...]:
-        """Returns the targets that were lately said to leave."""
+        """Returns the targets that were recently reported as draining."""
         oldest_ms = now_ms - self.settings.draining_ms
         self.draining = {
             name: at_ms
@@ -168,7 +169,7 @@
         return sorted(drawn)[:count]
 
     def pushes(self, to: Address, after: int) -> Actions:
-        """Returns what brings a peer forward from a version."""
+        """Returns the commits that follow the version of a peer."""
         last = min(self.version, after + self.settings.max_pushes)
         actions: Actions = []
         for version in range(after + 1, last + 1):
@@ -196,7 +197,7 @@
         return []
     dissemination.version = version
     if len(data) > dissemination.settings.max_commit_bytes:
-        # Too large for a datagram: tell the version, peers read the store.
+        # Too large for a datagram: peers read it from the object API.
         return [
             SendDigest(peer, False)
             for peer in dissemination.pick_peers(dissemination.settings.fanout)
@@ -235,7 +236,8 @@
         return [SendDigest(event.sender, True)]
     if event.version > dissemination.version:
         if event.reply:
-            # We told our version and got no commits back, only this word.
+            # The peer replied to this process's digest without commits, so it
+            # no longer has them.
             return [ReadStore()]
         return [SendDigest(event.sender, True)]
     return []
--- a/packages/radishstack/src/radishstack/process/incarnation.py
+++ b/packages/radishstack/src/radishstack/process/incarnation.py
@@ -1,55 +1,55 @@
-"""Which start of an engine the process beside it gives orders to.
+"""Incarnations of a target, and the one that a sidecar sends orders to.
 
-Gateways name the start that the platform's list shows. After a restart the
-list shows both for some seconds, and gateways can name either; only the
-engine itself knows which is over, and says so by refusing an order.
+Gateways name the incarnation that the platform's list shows. After a restart
+the list shows both incarnations for some seconds, and gateways can name either.
+Only the engine knows which one has ended; it rejects orders for that one.
 """
 
 import dataclasses
 
 
 def start_times_differ(one_ms: int, other_ms: int) -> bool:
-    """Whether two births are told and differ."""
+    """Whether two start times are both known and differ."""
     return bool(one_ms and other_ms) and one_ms != other_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IncarnationId:
-    """One start of a target: a target may start again under its name.
+    """Identifies an incarnation of a target, which restarts under its name.
 
     Attributes:
-        name: Name under which it registers.
-        born_ms: Unix time of the start as its own VM told it, 0 where it told
-            none. Clocks jump, so a later start may bear a smaller one: equal
-            or not is all that it says.
+        name: Name under which the target registers.
+        born_ms: Start time as Unix time on the target's VM, 0 if unknown. It
+            only tells incarnations apart and does not order them: clocks can
+            jump back, so a later incarnation may have an earlier start time.
     """
 
     name: str
     born_ms: int = 0
 
     def is_other(self, other: "IncarnationId") -> bool:
-        """Whether another start is meant, as far as births are told."""
+        """Whether the incarnations are known to differ."""
         if self.name != other.name:
             return True
         return start_times_differ(self.born_ms, other.born_ms)
 
 
 class IncarnationTracker:
-    """The starts of one engine."""
+    """Tracks the current incarnation of one engine."""
 
     def __init__(self) -> None:
-        """Starts knowing none."""
+        """Starts without a known incarnation."""
         self.current = ""
         self._ended: set[str] = set()
 
     def select(self, instance: str) -> bool:
-        """Records the incarnation that a gateway names.
+        """Makes an incarnation that a gateway names the current one.
 
         Args:
-            instance: The start.
+            instance: Name of the incarnation.
 
         Returns:
-            Whether it is the current one now. One that is over never is.
+            Whether it is now the current one, False if it has ended.
         """
         if instance in self._ended:
             return False
@@ -57,15 +57,18 @@
         return True
 
     def refused(self) -> None:
-        """Records that the engine's current incarnation is over."""
+        """Records that the engine rejected orders for the current incarnation.
+
+        The rejection proves that the incarnation has ended.
+        """
         self._ended.add(self.current)
         self.current = ""
 
     def restarted(self) -> None:
-        """Records that another incarnation of the engine runs.
+        """Records that the engine runs another incarnation.
 
-        It may be one of a name that was over: kept, that refusal would leave
-        the engine without orders for good. A name that is still over is
-        refused once more.
+        It may reuse the name of an ended one. If the ended names were kept, the
+        engine would never get orders again. The engine rejects orders for a
+        name that has still ended.
         """
         self._ended.clear()
--- a/packages/radishstack/src/radishstack/process/ledger.py
+++ b/packages/radishstack/src/radishstack/process/ledger.py
@@ -1,8 +1,8 @@
-"""Which idempotency keys have run here: at most once, in memory.
+"""Tracks idempotency keys in memory, so that each key runs at most once.
 
-A key has one home among the configured targets, and its home alone may run
-it. What the home cannot know, after a restart or from a former home that
-does not answer, is answered as unknown and never run.
+Each key has one home among the configured targets, and only its home may run
+it. If the home cannot know whether a key has run, because it restarted or a
+former home does not answer, it reports the key as unknown and does not run it.
 """
 
 import dataclasses
@@ -18,7 +18,17 @@
 
 
 class KeyState(enum.Enum):
-    """What the ledger knows of a key."""
+    """State of a key.
+
+    Attributes:
+        ASKING: Claimed; former homes are being asked for a seal.
+        QUEUED: Claimed and waiting for its dispatch.
+        STARTED: Dispatched.
+        ENDED: Has run.
+        REFUSED: Rejected without having run.
+        SEALED: Sealed; the targets in ``Record.sealed_for`` must be asked
+            before the key runs here.
+    """
 
     ASKING = "asking"
     QUEUED = "queued"
@@ -29,7 +39,7 @@
 
 
 class SealReply(enum.IntEnum):
-    """The answer to a seal request; the number goes on the wire."""
+    """The reply to a seal request; the number is sent on the wire."""
 
     SEALED = 0
     RAN = 1
@@ -38,17 +48,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One key.
+    """The record of one key.
 
     Attributes:
-        state: What is known.
-        digest: Digest of the body it was used with.
-        attempt_id: The attempt that owns it.
-        at_ms: Since when it is in this state.
-        keep_until_ms: When it may be forgotten, once it is at rest.
-        sealed_for: Targets that asked for a seal, each of which may have run
-            the key since; they are asked before it is ever run here.
-        window_ms: How long it is remembered after it ended.
+        state: State of the key.
+        digest: Digest of the body that the key was used with.
+        attempt_id: The attempt that owns the key.
+        at_ms: When the key entered this state.
+        keep_until_ms: When the record expires, if its state allows it.
+        sealed_for: Targets that requested a seal. Each of them may have run the
+            key since then and is asked before the key runs here.
+        window_ms: How long the record is kept after the run ended.
     """
 
     state: KeyState
@@ -61,7 +71,17 @@
 
 
 class Verdict(enum.Enum):
-    """What to do with a submission of a key."""
+    """What to do with a submission of a key.
+
+    Attributes:
+        CLAIM: Claim the key and run it.
+        JOIN: Join the attempt that owns the key.
+        REUSED: Reject, because the key was used with another body.
+        QUARANTINED: Reject, because the key may have run before a restart.
+        LATE: Reject, because the request was accepted before the key was
+            reported as not run.
+        FULL: Reject, because the ledger is full.
+    """
 
     CLAIM = "claim"
     JOIN = "join"
@@ -73,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """A verdict with the record it rests on."""
+    """A verdict and the record that it is based on."""
 
     verdict: Verdict
     record: Record | None = None
@@ -92,10 +112,11 @@
         """Starts empty.
 
         Args:
-            quarantine_until_ms: Until when a key without a record may have
-                run before this process started.
-            max_records: Bound on records; above it new keys are refused,
-                since forgetting one early could run it twice.
+            quarantine_until_ms: Until when a key without a record may have run
+                before this process started.
+            max_records: Maximum number of records. A full ledger rejects new
+                keys, because a key whose record is dropped early could run
+                twice.
         """
         self.quarantine_until_ms = quarantine_until_ms
         self.max_records = max_records
@@ -105,16 +126,17 @@
     def decide(
         self, key: Key, *, digest: bytes, accepted_at_ms: int, now_ms: int
     ) -> Decision:
-        """Decides on a submission, without changing anything.
+        """Decides what to do with a submission, without side effects.
 
         Args:
             key: Service and idempotency key.
-            digest: Digest of its body.
-            accepted_at_ms: When the entry accepted it, on this clock.
+            digest: Digest of the request body.
+            accepted_at_ms: When the entry daemon accepted the request, on the
+                clock of this process.
             now_ms: Now.
 
         Returns:
-            The judgement.
+            The decision.
         """
         record = self.records.get(key)
         if record is None:
@@ -126,8 +148,8 @@
         if record.state is KeyState.SEALED:
             return Decision(Verdict.CLAIM, record)
         if record.state is KeyState.REFUSED:
-            # A caller was told that the key did not run. A copy that was
-            # accepted before that, and arrives late, would make it a lie.
+            # A caller received the reply that the key did not run. A copy that
+            # was accepted before and arrives late would make the reply false.
             if accepted_at_ms <= record.at_ms:
                 return Decision(Verdict.LATE, record)
             return Decision(Verdict.CLAIM, record)
@@ -145,7 +167,7 @@
         window_ms: int,
         now_ms: int,
     ) -> None:
-        """Gives a key to an attempt, asking or queued."""
+        """Assigns a key to an attempt, in the state ASKING or QUEUED."""
         record = self.records.get(key)
         is_owner = record is not None and record.attempt_id == attempt_id
         invariant.require(
@@ -153,8 +175,8 @@
             result.DISPATCHED_TWICE,
             f"claim of {key} in state {record.state if record else None}",
         )
-        # A seal outlives the claims that follow it: a refused claim proves
-        # nothing about the target the key was sealed for.
+        # The seal is kept, because a rejected claim does not show whether the
+        # target that the key was sealed for has run it.
         self.records[key] = Record(
             state,
             digest,
@@ -166,7 +188,7 @@
         )
 
     def start(self, key: Key, attempt_id: bytes, now_ms: int) -> None:
-        """Marks a key as started, right before its dispatch."""
+        """Marks a key as started, immediately before its dispatch."""
         record = self.records.get(key)
         invariant.require(
             record is not None and record.attempt_id == attempt_id,
@@ -201,7 +223,7 @@
         )
 
     def withdraw(self, key: Key, now_ms: int) -> None:
-        """Undoes a start that the target itself refused as not run."""
+        """Undoes a start that the target rejected without running it."""
         record = self.records[key]
         invariant.require(
             record.state is KeyState.STARTED,
@@ -217,7 +239,7 @@
         )
 
     def refuse(self, key: Key, now_ms: int) -> None:
-        """Marks a claimed key as not run; a later submission may run."""
+        """Marks a claimed key as not run; a later submission may run it."""
         record = self.records[key]
         invariant.require(
             record.state in (KeyState.ASKING, KeyState.QUEUED),
@@ -234,19 +256,19 @@
     def seal(
         self, key: Key, *, asker: str, window_ms: int, now_ms: int
     ) -> SealReply:
-        """Answers a new home that wants to run a key.
+        """Handles a seal request from a new home that is about to run a key.
 
-        Once this says ``SEALED`` the key cannot start here before the asker
-        itself has been asked.
+        After ``SEALED``, the key cannot start here before the asker has been
+        asked in turn.
 
         Args:
             key: Service and idempotency key.
-            asker: The target that wants to run it.
+            asker: The target that is about to run the key.
             window_ms: The service's retry window.
             now_ms: Now.
 
         Returns:
-            Whether it is sealed, ran here, or cannot be known.
+            Whether the key is sealed, has run here, or neither is certain.
         """
         record = self.records.get(key)
         if record is None and now_ms < self.quarantine_until_ms:
@@ -268,10 +290,10 @@
         return SealReply.SEALED
 
     def expire(self, now_ms: int) -> list[bytes]:
-        """Forgets keys at rest whose time is over.
+        """Drops expired records.
 
         Returns:
-            The attempts whose kept answers may go with them.
+            The attempts whose kept responses may be dropped as well.
         """
         expired = [
             (key, record)
--- a/packages/radishstack/src/radishstack/process/roster.py
+++ b/packages/radishstack/src/radishstack/process/roster.py
@@ -1,8 +1,9 @@
-"""Which targets exist, which are leaving, and which are in doubt.
+"""Tracks the targets, and which of them are draining or unhealthy.
 
-Two sources are joined. The platform's list says what was registered; it lags,
-and entries lapse while the store that keeps it is down. Own evidence (refused
-connections, answers that failed) is fresh but local.
+Two sources are combined. The platform's list contains the registered targets.
+It lags behind, and its entries expire during a store outage. This process's own
+observations, such as refused connections and failed responses, are up to date
+but local.
 """
 
 from collections.abc import Mapping
@@ -11,53 +12,57 @@
 from radishstack.process import incarnation
 from radishstack.process import store_position
 
-# Failure estimate: weight of the newest outcome. With 0.25, three failures in
-# a row pass ``SICK_ABOVE`` and five good answers bring it back under.
+# Weight of the newest outcome in the failure share. With 0.25, three
+# consecutive failures raise it above UNHEALTHY_FAILURE_SHARE, and five good
+# responses lower it below again.
 FAILURE_WEIGHT = 0.25
 UNHEALTHY_FAILURE_SHARE = 0.5
-# A target that could not be reached is left alone this long, doubling up to
-# the maximum: a restarted engine is back within seconds.
+# Duration of an ejection, which doubles with each one up to the maximum. It is
+# short because a restarted engine is back within seconds.
 EJECTION_BASE_MS = 300
 EJECTION_MAX_MS = 2_400
 MAX_EJECTIONS = 8
-# Intervals without a renewal that an entry of the list outlives at least from
-# the beginning of an outage: it is kept for three, and was renewed up to one
-# before. The half is for renewals that come late.
+# Heartbeat intervals that each entry of the list lasts at least after the start
+# of an outage. Entries expire after three intervals without a renewal, and the
+# last renewal was up to one interval before. The remaining half interval allows
+# for late renewals.
 MIN_TTL_HEARTBEATS = 1.5
-# Latency estimate: weight of the newest answer.
+# Weight of the newest response in the latency estimate.
 LATENCY_WEIGHT = 0.2
-# What is left of the longest pause of a target's streams with each event that
-# comes sooner: a pause counts for some fifty events, a second or two.
+# Decay of the longest stall of a target's streams with each event that follows
+# a shorter one. A stall counts for about fifty events, which is one to two
+# seconds.
 STALL_DECAY = 0.98
-# Births of former starts that are remembered for one name: old news is some
-# seconds old, in which a target restarts a few times at most.
+# Number of former incarnations that are remembered per name. Outdated messages
+# are a few seconds old, and a target restarts at most a few times in that time.
 MAX_FORMER_INCARNATIONS = 8
-# Starts that said that they leave, of which that is remembered: their entries
-# lapse and come back, with a state that was written before.
+# Maximum number of remembered draining incarnations, and of remembered removed
+# targets. The entry of a draining target can expire and return with a state
+# from before it was draining.
 MAX_REMEMBERED_TARGETS = 1_024
-# How long a removed target is remembered: a list restored from an older copy
-# may still hold its entry.
+# How long a removed target is remembered. A list that is restored from an older
+# copy may still contain its entry.
 REMOVED_RETENTION_MS = 30_000
-# The longest rest that a target is given. Garbage in its place would take the
-# target from this process until it starts again.
+# Maximum backoff of a target. Without it, an invalid value would disable the
+# target for this process until one of the two restarts.
 MAX_BACKOFF_MS = 600_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """One target as the platform lists it.
+    """The entry of one target in the platform's list.
 
     Attributes:
         instance: Name of the target.
-        service: Its service.
+        service: Service of the target.
         address: ``ip:port``.
-        failure_domain: Where it runs.
-        leaving: Whether it said that it leaves.
-        slot_count: Requests it runs at once.
-        listed_at: Revision of the list at which it was entered.
-        changed_at: Revision of the list at which it last changed.
-        born_ms: Birth of this start of it, 0 where it told none.
-        residents: Versions of what it held, by adapter.
+        failure_domain: Failure domain of the target.
+        leaving: Whether the target reported that it is draining.
+        slot_count: Number of request slots.
+        listed_at: Store revision at which the entry was created.
+        changed_at: Store revision at which the entry last changed.
+        born_ms: Start time of this incarnation, 0 if unknown.
+        residents: Versions of the resident adapters, by adapter.
         era: Store era of the revisions.
     """
 
@@ -75,16 +80,16 @@
 
     @property
     def listed_position(self) -> store_position.StorePosition:
-        """Position of the list at which it was entered."""
+        """Store position at which the entry was created."""
         return store_position.StorePosition(self.era, self.listed_at)
 
     @property
     def changed_position(self) -> store_position.StorePosition:
-        """Position of the list at which it last changed."""
+        """Store position at which the entry last changed."""
         return store_position.StorePosition(self.era, self.changed_at)
 
     def may_predate(self, known: "Listing") -> bool:
-        """Whether it may be a restored entry older than a known one.
+        """Whether this may be a restored entry that is older than a known one.
 
         A restored list reuses revisions, so an entry of a later era is
         certainly newer only if its revision is greater as well.
@@ -93,24 +98,24 @@
 
     @property
     def incarnation_id(self) -> incarnation.IncarnationId:
-        """The start of the target that this tells of."""
+        """The incarnation of the target that the entry describes."""
         return incarnation.IncarnationId(self.instance, self.born_ms)
 
 
 @dataclasses.dataclass(slots=True)
 class Health:
-    """What this process saw of a target itself.
+    """This process's own observations of a target.
 
     Attributes:
-        failure_share: Decayed share of failures among its outcomes.
-        latency_ms: Decayed time to the first byte, 0 while unknown.
-        ejected_until_ms: Until when it gets no work.
-        ejections: Ejections in a row.
-        in_flight: Requests of this process that it has.
-        unanswered: When each of those that have no answer yet was sent.
-        pause_ms: Longest pause of its streams lately.
-        progressed_at_ms: When bytes of any answer came from it.
-        backoff_until_ms: Until when it wants no work from this process.
+        failure_share: Decayed share of failures among the outcomes.
+        latency_ms: Decayed time to the first byte, 0 if unknown.
+        ejected_until_ms: End of the current ejection.
+        ejections: Number of consecutive ejections.
+        in_flight: Requests of this process that are running on the target.
+        unanswered: Send times of the requests without a first byte, in order.
+        pause_ms: Decayed maximum of the stalls of its streams.
+        progressed_at_ms: When the last bytes of any response arrived.
+        backoff_until_ms: End of the backoff that the target requested.
     """
 
     failure_share: float = 0.0
@@ -124,12 +129,17 @@
     backoff_until_ms: int = 0
 
     def record_progress(self, pause_ms: int, now_ms: int) -> None:
-        """Notes an event of a stream, so long after the one before."""
+        """Records an event of a stream.
+
+        Args:
+            pause_ms: Time since the previous event of the stream.
+            now_ms: Now.
+        """
         self.pause_ms = max(pause_ms, STALL_DECAY * self.pause_ms)
         self.progressed_at_ms = now_ms
 
     def first_byte_wait_ms(self, now_ms: int) -> int:
-        """Returns how long the oldest request waits for a first byte."""
+        """Returns how long the oldest request has waited for a first byte."""
         if not self.unanswered:
             return 0
         # Entries are in the order in which they were sent.
@@ -141,8 +151,8 @@
     """A target that was removed from the list.
 
     Attributes:
-        listing: Its last known entry.
-        expires_at_ms: When the removal is forgotten.
+        listing: Last known entry of the target.
+        expires_at_ms: When this record expires.
         withheld: Restored entry that may predate the removal.
     """
 
@@ -153,18 +163,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """A target with what is believed of it.
+    """A target with its state.
 
     Attributes:
-        listing: What the platform lists.
-        health: What was seen here.
-        lapses_at_ms: When it is given up since the list lost it, 0 if not.
-        gone: Whether it was seen to have ended.
-        began_at: Position of the list at which this start was first seen; of
-            two targets at one address, the later one runs.
-        former: Births of starts of it that are proven to be over.
-        listed: Whether the list told this start.
-        withheld: Restored entry of another start that may predate this one.
+        listing: Entry of the target in the platform's list.
+        health: Observations of this process.
+        expires_at_ms: When the target is dropped because its entry is missing
+            from the list, 0 if the entry is present.
+        gone: Whether the incarnation is known to have ended.
+        began_at: Store position at which this incarnation was first observed.
+            Of two targets at one address, the later one is running.
+        former: Start times of incarnations that have certainly ended.
+        listed: Whether this incarnation is known from the list.
+        withheld: Restored entry of another incarnation that may predate this
+            one.
     """
 
     listing: Listing
@@ -184,10 +196,10 @@
         """Starts empty.
 
         Args:
-            lapse_grace_ms: How long after an outage of the list an entry
-                that is missing from it is still believed.
-            heartbeat_ms: How often targets renew their entries, 0 if that
-                is not known.
+            lapse_grace_ms: How long after a store outage a target is kept
+                although its entry is missing from the list.
+            heartbeat_ms: Interval at which targets renew their entries, 0 if
+                unknown.
         """
         self.members: dict[str, Member] = {}
         self._by_service: dict[str, list[Member]] = {}
@@ -206,17 +218,18 @@
         self._by_service = by_service
 
     def outage_ended(self, now_ms: int, *, away_ms: int) -> bool:
-        """Notes that the list can be read again.
+        """Records that the list can be read again.
 
-        Entries lapse while the platform cannot renew them; taking their
-        absence for death right after an outage would empty the roster.
+        Entries expire while the platform cannot renew them. If missing entries
+        meant that their targets had ended, the roster would be empty after each
+        outage.
 
         Args:
-            now_ms: When it answered again.
-            away_ms: How long it may have been away.
+            now_ms: When the list could be read again.
+            away_ms: Maximum length of the outage.
 
         Returns:
-            Whether entries may have lapsed in it.
+            Whether entries may have expired during the outage.
         """
         if away_ms < self._min_ttl_ms:
             return False
@@ -224,13 +237,13 @@
         return True
 
     def begin_grace(self, now_ms: int) -> None:
-        """Starts the grace in which known targets outlive missing entries.
+        """Starts the grace period, in which targets outlive missing entries.
 
         Args:
             now_ms: When the list could be read again.
         """
         self._grace_end_ms = now_ms + self._lapse_grace_ms
-        # All that is known now was written before, whoever told it.
+        # All known entries were written before now, whatever their source.
         self._outage_position = max(
             (
                 member.listing.changed_position
@@ -240,13 +253,13 @@
         )
 
     def in_grace_period(self, now_ms: int) -> bool:
-        """Whether an entry may be missing only because it has lapsed."""
+        """Whether an entry may be missing only because it has expired."""
         return now_ms < self._grace_end_ms
 
     def _may_have_expired(self, listing: Listing, now_ms: int) -> bool:
-        # An entry that was written since the outage is renewed like any
-        # other: missing again, its target has left, and work sent to it
-        # would reach a process that is about to end.
+        # An entry that was written after the outage is renewed normally. If it
+        # is missing, its target has left, and requests would be sent to a
+        # process that is about to end.
         written_since = listing.changed_position > self._outage_position
         return (
             self.in_grace_period(now_ms)
@@ -258,7 +271,7 @@
         """Applies one entry of the list, unless a newer state is known.
 
         Returns:
-            The member, if a start begins with it that was not known.
+            The member, if the entry belongs to a new incarnation.
         """
         member = self.members.get(listing.instance)
         if member is None:
@@ -275,8 +288,8 @@
             return None
         member.withheld = None
         if is_other:
-            # A start that only the process beside it told may be the later
-            # one: counted as over, it would stay so when the list tells it.
+            # An incarnation that only its sidecar has reported may be the later
+            # one. If it were marked as ended, its own entry would be ignored.
             ended = (known.born_ms,) if member.listed else ()
             return self._replace_member(
                 listing, listing.changed_position, ended
@@ -320,14 +333,14 @@
             now_ms: Now.
 
         Returns:
-            Members of the starts that were not known.
+            The members of new incarnations.
         """
         new_members = []
         for member in list(self.members.values()):
             listing = member.withheld
             if listing is not None and not self.in_grace_period(now_ms):
-                # The known start is not proven to be over, so it does not
-                # become a former one.
+                # It is not certain that the known incarnation has ended, so it
+                # does not become a former one.
                 new_members.append(
                     self._replace_member(listing, listing.changed_position)
                 )
@@ -350,7 +363,7 @@
         began_at: store_position.StorePosition,
         ended: tuple[int, ...] = (),
     ) -> Member:
-        """Replaces what is known of a name, with all that was seen of it."""
+        """Replaces the member of a name, with its health and other state."""
         before = self.members.get(listing.instance)
         known = before.former if before is not None else ()
         former = (*known, *ended)[-MAX_FORMER_INCARNATIONS:]
@@ -361,8 +374,9 @@
         return member
 
     def _mark_address_conflicts(self, member: Member) -> None:
-        # A target that restarted is listed beside its former start until
-        # that entry expires; sent there, requests would only be refused.
+        # A target that restarted under a new name is listed beside its former
+        # entry until that expires. Requests to the former name would only be
+        # rejected.
         address = member.listing.address
         for other in self.members.values():
             if other is member or other.listing.address != address:
@@ -375,16 +389,17 @@
     ) -> Member | None:
         """Records that one incarnation of a target followed another.
 
-        The process beside an engine sees that before the list tells it. Only
-        the start that follows the known one counts: a word that waited for
-        seconds tells of one that may itself be over.
+        The sidecar of an engine observes this before the list shows it. The
+        report is applied only if the former incarnation is the known one,
+        because the new incarnation in a report that was delayed by seconds may
+        have ended as well.
 
         Args:
-            incarnation_id: The incarnation that runs.
-            former_born_ms: Birth of the one before it, 0 if none was seen.
+            incarnation_id: The new incarnation.
+            former_born_ms: Start time of the former one, 0 if unknown.
 
         Returns:
-            The member of the new start, None if nothing follows from it.
+            The member of the new incarnation, None if the report is ignored.
         """
         member = self.members.get(incarnation_id.name)
         if member is None or not former_born_ms:
@@ -403,21 +418,21 @@
         return renewed
 
     def is_current(self, member: Member) -> bool:
-        """Whether a member stands for the start that is known to run."""
+        """Whether a member belongs to the current incarnation of its target."""
         return self.members.get(member.listing.instance) is member
 
     def drop(self, instance: str) -> bool:
-        """Forgets a target at once; returns whether it was known."""
+        """Drops a target immediately; returns whether it was known."""
         if self.members.pop(instance, None) is None:
             return False
         self._index()
         return True
 
     def remove(self, instance: str, now_ms: int) -> bool:
-        """Records that the list lost an entry.
+        """Records that an entry is missing from the list.
 
         Returns:
-            Whether it is dropped at once.
+            Whether the target is dropped immediately.
         """
         member = self.members.get(instance)
         if member is None:
@@ -435,7 +450,7 @@
         return self.drop(instance)
 
     def drop_expired(self, now_ms: int) -> list[str]:
-        """Drops entries whose grace has passed."""
+        """Drops targets whose grace period is over; returns their names."""
         expired = [
             name
             for name, member in self.members.items()
@@ -448,11 +463,11 @@
         return expired
 
     def of_service(self, service: str) -> list[Member]:
-        """Returns the members of a service, leaving ones included."""
+        """Returns the members of a service, including draining ones."""
         return self._by_service.get(service, [])
 
     def median_latency_ms(self, service: str) -> float:
-        """Returns the time to a first byte at the middle target."""
+        """Returns the median of the targets' times to the first byte."""
         known = sorted(
             member.health.latency_ms
             for member in self.of_service(service)
@@ -461,10 +476,10 @@
         return known[len(known) // 2] if known else 0.0
 
     def usable(self, service: str, now_ms: int) -> list[Member]:
-        """Returns the targets that may get new work.
+        """Returns the targets that may get new requests.
 
-        Ejection never empties a service: with every target in doubt, the
-        doubt is more likely about this process or its links.
+        Ejections never empty a service. If all targets are ejected, the cause
+        is more likely this process or its links.
         """
         active = [
             member
@@ -494,11 +509,11 @@
         )
 
     def is_active(self, member: Member, now_ms: int) -> bool:
-        """Whether a member runs and is not known to leave."""
+        """Whether a member is current and not known to be draining or gone."""
         return self.is_current(member) and self._is_active(member, now_ms)
 
     def backoff_ms(self, service: str, now_ms: int) -> int:
-        """Returns for how long all targets of a service want no work."""
+        """Returns how long all targets of a service are still in backoff."""
         ends_ms = [
             member.health.backoff_until_ms
             for member in self._active_members(service, now_ms)
@@ -506,20 +521,24 @@
         return max(0, min(ends_ms, default=0) - now_ms)
 
     def back_off(self, member: Member, backoff_ms: int, now_ms: int) -> None:
-        """Records that a target asked this gateway to back off.
+        """Records that a target requested a backoff from this gateway.
 
-        It is kept even where no other target is left: work sent all the same
-        is turned away, and delays the target's return.
+        The backoff is observed even if no other target is left: the target
+        would reject the requests, and they would delay its recovery.
         """
         until_ms = now_ms + min(backoff_ms, MAX_BACKOFF_MS)
         health = member.health
         health.backoff_until_ms = max(health.backoff_until_ms, until_ms)
 
     def mark_draining(self, incarnation_id: incarnation.IncarnationId) -> bool:
-        """Records that an incarnation leaves; returns whether it is new.
+        """Records that an incarnation is draining.
+
+        This is stored separately from the list, whose entries are written later
+        and by others. During an outage, such an entry would make the target
+        active again.
 
-        Kept apart from what the list says, which is written by others and
-        later: in an outage it would bring the target back.
+        Returns:
+            Whether this was unknown so far.
         """
         if self.is_draining(incarnation_id):
             return False
@@ -530,7 +549,7 @@
         return True
 
     def is_draining(self, incarnation_id: incarnation.IncarnationId) -> bool:
-        """Whether this very start said that it leaves."""
+        """Whether this incarnation reported that it is draining."""
         draining_incarnation = self._draining.get(incarnation_id.name)
         return (
             draining_incarnation is not None
@@ -538,7 +557,7 @@
         )
 
     def unreachable(self, instance: str, now_ms: int) -> None:
-        """Notes that a target could not be reached, and leaves it alone."""
+        """Records that a target could not be reached, and ejects it."""
         member = self.members.get(instance)
         if member is None:
             return
@@ -555,7 +574,7 @@
         health.ejected_until_ms = now_ms + ejection_ms
 
     def failed(self, instance: str, now_ms: int) -> None:
-        """Notes a failure of a target."""
+        """Records a failure of a target."""
         member = self.members.get(instance)
         if member is None:
             return
@@ -565,7 +584,7 @@
             self._eject(health, now_ms)
 
     def answered(self, instance: str, took_ms: float) -> None:
-        """Notes a good answer and the time to its first byte."""
+        """Records a good response and the time to its first byte."""
         member = self.members.get(instance)
         if member is None:
             return
@@ -576,13 +595,13 @@
         health.latency_ms = known_ms + LATENCY_WEIGHT * (took_ms - known_ms)
 
     def ended(self, instance: str) -> None:
-        """Notes proof that this start of a target is over."""
+        """Records proof that the current incarnation of a target has ended."""
         member = self.members.get(instance)
         if member is not None:
             member.gone = True
 
     def clear_ejections(self) -> None:
-        """Drops what was seen before this process stood still."""
+        """Clears the ejections from before a pause of this process."""
         for member in self.members.values():
             member.health.ejected_until_ms = 0
             member.health.ejections = 0
--- a/packages/radishstack/src/radishstack/process/sliding_sum.py
+++ b/packages/radishstack/src/radishstack/process/sliding_sum.py
@@ -1,4 +1,4 @@
-"""A sum over a sliding window, in bounded memory."""
+"""Sum over a sliding window, in bounded memory."""
 
 import bisect
 
@@ -6,8 +6,8 @@
 class SlidingSum:
     """Sums costs over the last window.
 
-    Costs are kept by steps of time. Each counts for its window and up to one
-    step longer, so that no window ever sums to more than this says.
+    Costs are grouped by time steps. Each cost counts for the length of the
+    window and up to one step longer, so that the result is never too small.
     """
 
     __slots__ = ("_costs", "_starts_ms", "_step_ms", "_total", "_window_ms")
@@ -26,7 +26,7 @@
         self._total = 0.0
 
     def add(self, cost: float, at_ms: int) -> None:
-        """Adds a cost at a time, which may lie before that of others."""
+        """Adds a cost at a time, which may be earlier than that of others."""
         start_ms = at_ms - at_ms % self._step_ms
         index = bisect.bisect_left(self._starts_ms, start_ms)
         is_known = (
@@ -47,12 +47,17 @@
         if expired:
             del self._starts_ms[:expired]
             del self._costs[:expired]
-            # Summed anew, so that rounding errors do not add up.
+            # Recomputed, so that rounding errors do not accumulate.
             self._total = sum(self._costs)
         return self._total
 
     def wait_ms(self, limit: float, now_ms: int) -> int:
-        """Returns in what time the sum is at most a limit, if none is added."""
+        """Returns the time until the sum is at most a limit, if none is added.
+
+        Args:
+            limit: The limit.
+            now_ms: Now.
+        """
         total = self.total(now_ms)
         for start_ms, cost in zip(self._starts_ms, self._costs, strict=True):
             if total <= limit:
--- a/packages/radishstack/src/radishstack/process/store_position.py
+++ b/packages/radishstack/src/radishstack/process/store_position.py
@@ -1,4 +1,4 @@
-"""Order of revisions across restores of the platform's store."""
+"""Orders revisions across restores of the platform's store."""
 
 import dataclasses
 
--- a/packages/radishstack/src/radishstack/process/target_rate_limits.py
+++ b/packages/radishstack/src/radishstack/process/target_rate_limits.py
@@ -20,7 +20,7 @@
 
 MS_PER_S = 1_000
 UNLIMITED_PER_S = math.inf
-# Part of the rate for the selected gateways; the rest is for probes.
+# Fraction of the rate for the selected gateways; the rest is for probes.
 SENDERS_FRACTION = 0.9
 # The total depth of all token buckets is BASE_DEPTH requests plus BURST_S
 # seconds of the rate. Each bucket holds at least one request, so the total
@@ -30,7 +30,7 @@
 # Lower limits are raised to this rate, because only a response can show that a
 # limit has ended.
 MIN_RATE_PER_S = 0.25
-# Validity of a booking; leaves time for an adapter to load.
+# Validity of a reservation; leaves time for an adapter to load.
 RESERVATION_MS = 500
 # A probe that finds no request within this time after it is due is rescheduled.
 PROBE_WINDOW_MS = 500
@@ -49,8 +49,8 @@
     """A request that counts against the rate limit of a target.
 
     Attributes:
-        start: The start of the target.
-        at_ms: When the request was booked.
+        incarnation_id: The incarnation of the target.
+        at_ms: When the reservation was made.
     """
 
     incarnation_id: incarnation.IncarnationId
@@ -72,10 +72,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Limit:
-    """The rate limit of one start of a target, as known to this gateway.
+    """The rate limit of one incarnation of a target, as this gateway knows it.
 
     Attributes:
-        start: The start that advertised the limit.
+        incarnation_id: The incarnation that advertised the limit.
         per_s: Requests per second from all gateways together.
         reported_per_s: The limit that was last reported to other gateways.
         advertised_at_ms: When the limit was last received.
@@ -280,7 +280,7 @@
     def reserve(
         self, incarnation_id: incarnation.IncarnationId, now_ms: int
     ) -> Reservation | None:
-        """Books a request to a target, None if it may not be sent now."""
+        """Reserves a request to a target, None if it may not be sent now."""
         if not self.may_send(incarnation_id, now_ms):
             return None
         limit = self._find(incarnation_id)
@@ -292,11 +292,11 @@
 
     @staticmethod
     def is_valid(reservation: Reservation, now_ms: int) -> bool:
-        """Whether a booking has not expired."""
+        """Whether a reservation has not expired."""
         return now_ms - reservation.at_ms <= RESERVATION_MS
 
     def release(self, reservation: Reservation, now_ms: int) -> None:
-        """Gives back a booking whose request was not sent."""
+        """Releases a reservation whose request was not sent."""
         limit = self._find(reservation.incarnation_id)
         if limit is None or not self.is_valid(reservation, now_ms):
             return
--- a/packages/radishstack/src/radishstack/process/usage_loan.py
+++ b/packages/radishstack/src/radishstack/process/usage_loan.py
@@ -1,26 +1,25 @@
-"""Messages by which gateways lend each other parts of a usage cap."""
+"""Messages with which gateways lend each other parts of a usage cap."""
 
 import dataclasses
 
-# The longest time from a loan to a send that it pays for.
+# Maximum time from a loan to the send of a request that uses it.
 LOAN_TERM_MS = 700
-# A booking pays for a send within this time; a request that waits longer is
-# booked anew.
+# Validity of a reservation. A request that waits longer needs a new one.
 RESERVATION_MS = 200
-# How long a loan can be booked, counted from the ask.
+# How long a loan can be used for reservations, counted from the loan request.
 LOAN_USABLE_MS = LOAN_TERM_MS - RESERVATION_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """A gateway asks another one for a part of its part of a cap.
+    """Asks another gateway to lend some of its share of a cap.
 
     Attributes:
         account: Name of the account.
-        number: Number of the ask, which the loan repeats.
-        need: Cost that waits for it.
-        want: Cost that is expected within the term of a loan, the need
-            included.
+        number: Number of the request, which the loan repeats.
+        need: Cost of the requests that wait for the loan.
+        want: Cost that is expected within the term of a loan, including the
+            need.
     """
 
     account: str
@@ -31,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loan:
-    """The answer to an ask.
+    """The reply to a loan request.
 
     Attributes:
         account: Name of the account.
-        number: Number of the ask.
-        amount: Cost that the asker may send instead of the lender, 0 for
-            none.
-        room: What the lender could still lend.
+        number: Number of the loan request.
+        amount: Cost that the borrower may send instead of the lender, 0 for no
+            loan.
+        room: Spare capacity that the lender has left to lend.
     """
 
     account: str
--- a/packages/radishstack/src/radishstack/process/usage_shares.py
+++ b/packages/radishstack/src/radishstack/process/usage_shares.py
@@ -1,13 +1,13 @@
 """Decides what one gateway may send on behalf of a capped account.
 
-Load pattern: the requests of one account come to all gateways, unevenly, and
-at times to several times its cap. Each gateway owns an equal part of the
-account's token bucket. One that needs more borrows from others, which take the
-loan out of their own parts. So the sum over all gateways stays under the cap
-whoever is cut off, frozen or unknown to whom, and an account that every
-gateway sends less of than its part costs no message. A bucket serves an account
-beyond its cap steadily; a window that is used up would shut it out until its
-first requests have left the window.
+Load pattern: the requests of one account arrive at all gateways, unevenly, and
+at times exceed its cap several times over. Each gateway owns an equal share of
+the account's token bucket. A gateway that needs more borrows from others, which
+subtract the loan from their own shares. The sum over all gateways therefore
+stays below the cap even if gateways are disconnected, paused or unknown to each
+other. No messages are sent while each gateway stays within its share. Token
+buckets serve an account that exceeds its cap at a steady rate. A used-up window
+would block the account until its first requests have left the window.
 """
 
 from collections.abc import Callable
@@ -21,47 +21,51 @@
 from radishstack.process import usage_loan
 
 MS_PER_S = 1_000
-# Part of the allowed overshoot that buckets may use; the rest is left for
+# Fraction of the allowed overshoot that buckets may use; the rest is for
 # gateways that are not known yet.
 OVERSHOOT_FRACTION = 0.9
-# Part of a window's limit that a bucket holds at least.
+# Minimum depth of a bucket, as a fraction of a window's limit.
 MIN_DEPTH_FRACTION = 0.1
-# Part of a cap's burst that its bucket gains within a window, beside the rate.
+# Fraction of a cap's burst that its bucket gains per window, in addition to the
+# rate.
 BURST_REFILL_FRACTION = 0.75
-# Others that are asked at once: as many as would pay for the request out of
-# full parts, within these bounds.
+# Bounds on the number of gateways that receive a loan request at the same time.
+# Within them, as many are asked as could cover the request with full shares.
 MIN_LENDERS_PER_ROUND = 2
 MAX_LENDERS_PER_ROUND = 16
-# After so many asks in a row that brought nothing, requests are rejected.
+# Requests are rejected after this many consecutive loan requests without a
+# loan.
 MAX_FAILED_LOAN_REQUESTS = 6
-# An ask without an answer is given up after this time.
+# A loan request without a reply expires after this time.
 LOAN_TIMEOUT_MS = 40
-# After a round in vain nobody is asked for the same account for a while.
+# Pause of an account's loan requests after a round without a loan.
 BORROWING_PAUSE_MS = 200
-# What another gateway said of its room is believed for this time.
+# How long the spare capacity that another gateway reported is used.
 SPARE_CAPACITY_TTL_MS = 500
-# A gateway that did not answer is asked last for a while.
+# How long a gateway that did not reply gets no further loan requests, unless
+# its last reported spare capacity is still in use.
 UNRESPONSIVE_MS = 2_000
-# The use of this time is expected to go on.
+# The usage of this period is the forecast for the next requests.
 RECENT_USE_MS = 1_000
-# What a gateway expects to use in this time it borrows ahead, or keeps from
-# lending.
+# A gateway borrows its expected usage of BORROW_AHEAD_MS in advance, and does
+# not lend its expected usage of WITHHELD_MS.
 BORROW_AHEAD_MS = 300
 WITHHELD_MS = 1_000
-# Part of its full part that a gateway keeps from lending at most. Where parts
-# are smaller than a request, only what is lent is of use.
+# Maximum fraction of its full share that a gateway withholds from lending. If
+# shares are smaller than a request, capacity is useful only if it is lent.
 MAX_WITHHELD_FRACTION = 0.25
-# Part of its room that a gateway lends ahead of the asker's need.
+# Fraction of its spare capacity that a gateway lends beyond the borrower's
+# immediate need.
 LEND_AHEAD_FRACTION = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bucket:
-    """A token bucket: what may be sent at once, and how fast it fills.
+    """A token bucket.
 
     Attributes:
-        depth: Cost that it holds when full.
-        per_ms: Cost that it gains per millisecond.
+        depth: Capacity, as a cost.
+        per_ms: Refill rate, as a cost per millisecond.
     """
 
     depth: float
@@ -70,12 +74,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rules:
-    """How usage caps are judged.
+    """Rules for the enforcement of usage caps.
 
     Attributes:
         window_ms: Length of the sliding window.
-        overage: Part of the limit of a window by which it may be exceeded.
-        tolerance: Cost by which it may be exceeded besides, in units.
+        overage: Fraction of a window's limit by which the limit may be
+            exceeded.
+        tolerance: Additional cost by which it may be exceeded, in units.
     """
 
     window_ms: int
@@ -85,8 +90,8 @@
     def bucket(self, cap: usage_cap.UsageCap) -> Bucket:
         """Returns the bucket of all gateways together.
 
-        No window sums to more than the depth and what the bucket gains in
-        the window and the term of a loan before it.
+        No window exceeds the depth plus the refill during the window and during
+        the term of a loan before it.
         """
         limit = cap.limit(self.window_ms)
         overshoot = self.overage * limit + self.tolerance
@@ -101,14 +106,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Reservation:
-    """The cost of one request, booked at a moment.
+    """The cost of one request that counts against a cap.
 
     Attributes:
         account: Name of the account.
-        cost: In units of its cap.
-        at_ms: When it was booked.
-        own: What of it came out of this gateway's own part.
-        given_back: Whether it no longer counts.
+        cost: Cost in units of the cap.
+        at_ms: When the reservation was made.
+        own: Part of the cost that comes from this gateway's own share.
+        released: Whether it no longer counts.
     """
 
     account: str
@@ -120,7 +125,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _BorrowedAmount:
-    """What is left of a loan."""
+    """The remaining amount of a loan."""
 
     remaining: float
     until_ms: int
@@ -128,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _PendingRequest:
-    """An ask that is not answered yet."""
+    """A loan request without a reply so far."""
 
     lender: str
     at_ms: int
@@ -136,18 +141,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _SpareCapacity:
-    """What another gateway said of its room."""
+    """Spare capacity that another gateway reported."""
 
     amount: float
     at_ms: int
 
 
 class _AccountState:
-    """The books of one account."""
+    """The state of one account at this gateway."""
 
     def __init__(self, cap: usage_cap.UsageCap, window_ms: int) -> None:
         self.cap = cap
-        # What is left of this gateway's part of the bucket, and as of when.
+        # Level of this gateway's share of the bucket, and its last update.
         self.level = 0.0
         self.filled_at_ms: int | None = None
         self.sent = sliding_sum.SlidingSum(window_ms)
@@ -161,7 +166,7 @@
 
 
 class UsageShares:
-    """What one gateway has sent, lent and borrowed, by account."""
+    """Tracks what one gateway has sent, lent and borrowed, by account."""
 
     def __init__(
         self,
@@ -171,14 +176,14 @@
         started_ms: int,
         random_source: random.Random,
     ) -> None:
-        """Starts with empty books.
+        """Starts without accounts.
 
         Args:
-            rules: How caps are judged.
-            others: Returns the names of the other gateways that are known.
-            gateway_count: Returns how many gateways there are, this one too.
-            started_ms: This gateway's clock now.
-            random_source: Chooses whom to ask.
+            rules: Rules for the enforcement of caps.
+            others: Returns the names of the other known gateways.
+            gateway_count: Returns the number of gateways, including this one.
+            started_ms: Start time of this gateway, on its own clock.
+            random_source: Chooses the gateways to borrow from.
         """
         self._rules = rules
         self._others = others
@@ -202,14 +207,14 @@
         return state
 
     def _share(self, cap: usage_cap.UsageCap) -> Bucket:
-        """Returns this gateway's part of an account's bucket."""
+        """Returns this gateway's share of an account's bucket."""
         whole = self._rules.bucket(cap)
         count = max(1, self._gateway_count())
         return Bucket(whole.depth / count, whole.per_ms / count)
 
     def _fill(self, state: _AccountState, now_ms: int) -> None:
-        # A started process begins with an empty bucket: what the one before
-        # it has sent is not known.
+        # The bucket is empty when the process starts, because it does not know
+        # what the process before it has sent.
         share = self._share(state.cap)
         since_ms = state.filled_at_ms
         if since_ms is None:
@@ -234,17 +239,17 @@
         cost: float,
         now_ms: int,
     ) -> Reservation | None:
-        """Books a request that is about to be sent.
+        """Reserves the cost of a request that is about to be sent.
 
         Args:
             account: Name of the account.
-            cap: Its cap.
-            cost: The request's cost.
+            cap: Cap of the account.
+            cost: Cost of the request.
             now_ms: This gateway's clock.
 
         Returns:
-            The booking, None if neither this gateway's part nor what it has
-            borrowed pays for it.
+            The reservation, None if this gateway's share and its loans do not
+            cover the cost.
         """
         state = self._refilled_state(account, cap, now_ms)
         borrowed = self._borrowed_total(state, now_ms)
@@ -262,7 +267,7 @@
         return Reservation(account, cost, now_ms, own)
 
     def release(self, reservation: Reservation) -> None:
-        """Gives a booking back whose request provably did not run."""
+        """Releases the reservation of a request that provably did not run."""
         if reservation.released:
             return
         reservation.released = True
@@ -284,7 +289,7 @@
         cost: float,
         now_ms: int,
     ) -> float:
-        """Returns what has to be borrowed before a request can be booked."""
+        """Returns the cost that must be borrowed before a reservation."""
         state = self._refilled_state(account, cap, now_ms)
         own = max(0.0, state.level)
         return max(0.0, cost - own - self._borrowed_total(state, now_ms))
@@ -292,7 +297,7 @@
     def borrow_ahead_amount(
         self, account: str, cap: usage_cap.UsageCap, now_ms: int
     ) -> float:
-        """Returns what to borrow before the next requests need it."""
+        """Returns the cost to borrow in advance for the next requests."""
         state = self._refilled_state(account, cap, now_ms)
         if state.pending or now_ms < state.borrowing_paused_until_ms:
             return 0.0
@@ -303,16 +308,16 @@
     def ask(
         self, account: str, need: float, now_ms: int
     ) -> list[tuple[str, usage_loan.LoanRequest]]:
-        """Returns whom to ask for a loan now.
+        """Returns the loan requests to send now.
 
         Args:
             account: Name of the account.
-            need: Cost that waits for it, 0 if it is asked ahead.
+            need: Cost that waits for the loan, 0 for borrowing in advance.
             now_ms: This gateway's clock.
 
         Returns:
-            Gateways with what to send to each; none while others are still
-            to answer, or if nobody is left to be asked.
+            Gateways with the loan request for each. Empty while earlier
+            requests are pending, or if no gateway is left to borrow from.
         """
         state = self._states[account]
         self._expire_requests(state, now_ms)
@@ -348,7 +353,10 @@
     def _choose_lenders(
         self, state: _AccountState, need: float, now_ms: int
     ) -> list[str]:
-        """Chooses those with most room, then others that have not told it."""
+        """Chooses the gateways with the most spare capacity.
+
+        If there are too few, gateways with unknown spare capacity follow.
+        """
         if state.requested_count >= MAX_FAILED_LOAN_REQUESTS:
             return []
         share_count = math.ceil(need / self._share(state.cap).depth)
@@ -373,7 +381,7 @@
         return chosen + self._random.sample(sorted(unknown), count)
 
     def on_loan(self, loan: usage_loan.Loan, now_ms: int) -> None:
-        """Applies the answer of another gateway."""
+        """Applies the reply of another gateway to a loan request."""
         state = self._states.get(loan.account)
         pending = state.pending.pop(loan.number, None) if state else None
         if pending is None:
@@ -395,11 +403,11 @@
         cap: usage_cap.UsageCap,
         now_ms: int,
     ) -> usage_loan.Loan:
-        """Answers another gateway's ask.
+        """Returns the reply to a loan request of another gateway.
 
         Args:
             loan_request: The request.
-            cap: The account's cap.
+            cap: Cap of the account.
             now_ms: This gateway's clock.
         """
         state = self._refilled_state(loan_request.account, cap, now_ms)
@@ -416,7 +424,7 @@
         )
 
     def is_borrowing_paused(self, account: str, now_ms: int) -> bool:
-        """Whether nobody had room a moment ago."""
+        """Whether borrowing is paused, as no gateway had spare capacity."""
         state = self._states.get(account)
         return state is not None and now_ms < state.borrowing_paused_until_ms
 
@@ -427,7 +435,7 @@
         cost: float,
         now_ms: int,
     ) -> int:
-        """Returns in what time this gateway's part has room for a cost."""
+        """Returns the time until this gateway's share can cover a cost."""
         missing = self.missing(account, cap, cost, now_ms)
         per_ms = self._share(cap).per_ms
         if missing > self._rules.window_ms * per_ms:
@@ -435,7 +443,7 @@
         return round(missing / per_ms)
 
     def report(self, now_ms: int) -> dict[str, dict[str, float]]:
-        """Returns what was sent in a window and what is left, by account."""
+        """Returns the cost sent in the window and the levels, by account."""
         return {
             name: {
                 "sent": state.sent.total(now_ms),
@@ -447,11 +455,12 @@
         }
 
     def forget(self, now_ms: int) -> None:
-        """Drops the books of accounts that were not used for long."""
+        """Drops the state of accounts that were not used for a long time."""
         for account, state in list(self._states.items()):
             self._fill(state, now_ms)
             is_full = state.level >= self._share(state.cap).depth
-            # One that is not full would be full when it is opened again.
+            # Only a full bucket may be dropped, because the account's next one
+            # starts as if it had refilled since the start of the process.
             if is_full and now_ms - state.used_at_ms > self._rules.window_ms:
                 del self._states[account]
         self._unresponsive_until_ms = {
@@ -462,5 +471,5 @@
 
 
 def _expected(state: _AccountState, for_ms: int, now_ms: int) -> float:
-    """Returns the use that is expected in a time."""
+    """Returns the expected cost of a period of time."""
     return max(0.0, state.recent.total(now_ms)) * for_ms / RECENT_USE_MS
--- a/tests/fleet/test_crash_evidence.py
+++ b/tests/fleet/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""Which requests are held to end targets, and which must not be."""
+"""Detection of requests that crash targets, and of harmless ones."""
 
 from radishd.process import crash_record
 from radishstack import result
@@ -32,10 +32,10 @@
 
 
 def test_only_the_request_at_each_crash_is_quarantined() -> None:
-    """One request stood at crashes at 8.727, 9.549 and 9.980 s, and later ones.
+    """Guards against quarantining requests that ran beside the harmful one.
 
-    Each engine ran up to eleven others, every one of them other than at the
-    crash before. All are suspects; only what stands at each is refused.
+    One request was running at crashes at 8.727, 9.549 and 9.980 s. Each engine
+    ran up to eleven other requests, most of them at one crash only.
     """
     neighbours = [f"{number:032x}" for number in range(30)]
     evidence = _evidence(
@@ -51,11 +51,11 @@
 
 
 def test_a_power_cut_quarantines_no_request() -> None:
-    """A rack fails with a popular request running on all of its engines.
+    """Guards against counting a rack failure as one crash per engine.
 
-    Its engines end within a quarter of a second, in any order, and all their
-    requests were sent before. Counted as one crash each, whatever runs on
-    three engines at once would be refused at the whole site.
+    The engines crash within 250 ms, and all requests were sent before. Counted
+    separately, any request that runs on three engines at once would be
+    quarantined at the whole site.
     """
     evidence = crash_evidence.CrashEvidence()
     for number in range(12):
@@ -66,10 +66,11 @@
 
 
 def test_a_power_cut_in_two_waves_quarantines_no_request() -> None:
-    """A rack fails, and what was sent on meanwhile fails with the next one.
+    """Guards against counting two rack failures as one crash per engine.
 
-    A popular request runs on all engines of both, and none of it ends well in
-    between. That is two moments, however many engines there are.
+    A popular request runs on all engines of both racks, is resent after the
+    first failure, and does not succeed in between. These are two separate
+    crashes, regardless of the number of engines.
     """
     evidence = crash_evidence.CrashEvidence()
     for wave in range(2):
@@ -80,11 +81,10 @@
 
 
 def test_a_popular_request_that_succeeds_elsewhere_is_cleared() -> None:
-    """Many callers send the same body; engines end for reasons of their own.
+    """Guards against quarantining a popular request that ran at each crash.
 
-    An equal request was running at each of five crashes, as one always is.
-    Between the crashes others of it ended well, which none does that ends
-    targets.
+    Many callers send the same body, and five engines crash for other reasons.
+    Equal requests succeed between the crashes, which a harmful one never does.
     """
     evidence = crash_evidence.CrashEvidence()
     for number in range(5):
@@ -97,11 +97,11 @@
 
 
 def test_a_request_retried_beside_a_harmful_one_is_not_quarantined() -> None:
-    """A small service of three targets, all ended by one request.
+    """Guards against quarantining a request that is retried at each crash.
 
-    Another request was sent on to each of them in turn, and broke each time.
-    At the third crash the two cannot be told apart; at the fourth only one is
-    there.
+    One request crashes all three targets of a small service, and another one is
+    retried on each of them. After three crashes the two are ambiguous; only the
+    harmful one is running at the fourth.
     """
     evidence = _evidence(
         *(_crash(number, 1_000 * number, HARMFUL, OTHER) for number in range(3))
@@ -114,7 +114,10 @@
 
 
 def test_crashes_by_concurrent_copies_are_counted() -> None:
-    """The poison request comes twice at once, and ends two targets in 50 ms."""
+    """Guards against ignoring a request sent twice at the same time.
+
+    Each pair of copies crashes two targets within 50 ms.
+    """
     evidence = crash_evidence.CrashEvidence()
     for number in range(3):
         at_ms = 3_000 * (number + 1)
@@ -124,7 +127,7 @@
 
 
 def test_a_quarantine_ends_and_the_next_one_is_longer() -> None:
-    """An innocent request is back after minutes, one that ends targets not."""
+    """Guards against quarantines that never end or never grow."""
     evidence = _evidence(
         *(_crash(number, 1_000 * number, HARMFUL) for number in range(3))
     )
@@ -142,13 +145,14 @@
 
 
 def test_a_request_beside_several_harmful_ones_is_tried_soon() -> None:
-    """A popular request was refused 579 times after a storm, for minutes.
-
-    Twelve requests that end targets came at once. Both engines ended twice a
-    second, an equal one of the popular requests on them each time, and none
-    of those ended well in between: ``request_quarantined crashes=4
-    refused_for_ms=1799988``. Refused at all gateways, it could not end well any
-    more. Where another that recurs stood at each crash, little is known.
+    """Guards against a long quarantine of a popular request.
+
+    Twelve harmful requests arrived at once and crashed both engines twice per
+    second. A popular request was running at each crash and did not succeed in
+    between. It was then rejected 579 times over minutes
+    (``request_quarantined crashes=4 refused_for_ms=1799988``) and could not
+    succeed, because all gateways rejected it. If another suspect of several
+    crashes was running at each crash, the evidence is weak.
     """
     evidence = crash_evidence.CrashEvidence()
     for number in range(9):
@@ -156,7 +160,7 @@
         evidence.crashed(_crash(number, 500 * number, OTHER, harmful))
     quarantine = evidence.quarantine(OTHER, 4_000)
     assert quarantine.left_ms == crash_evidence.TRIAL_DELAY_MS
-    # Alone at two crashes more, it is one of them.
+    # Two more crashes without other suspects show that it is harmful.
     for number in (9, 10):
         evidence.crashed(_crash(number, 20_000 * number, OTHER))
     later = evidence.quarantine(OTHER, 200_000)
@@ -164,12 +168,11 @@
 
 
 def test_a_request_that_succeeded_recently_is_not_quarantined() -> None:
-    """A popular request was refused 666 times in a storm of poison requests.
+    """Guards against ignoring successes from before the first crash.
 
-    Hundreds of it had ended well in the seconds before. Both engines ended so
-    often then that none did between three crashes, and what had ended well
-    before the first of them counted for nothing. Only one gateway of two had
-    served it.
+    A popular request was rejected 666 times while harmful requests crashed both
+    engines. Hundreds of copies had succeeded in the seconds before, but none
+    between three crashes. Only one of two gateways had served it.
     """
     informed = crash_evidence.CrashEvidence()
     informed.succeeded(OTHER, 1_000)
@@ -180,7 +183,7 @@
             assert other.take(record)
         assert informed.quarantine(OTHER, 60_000) is None
         assert other.quarantine(OTHER, 60_000) is None
-    # What ended well is known to one that hears of the crashes, too.
+    # A gateway that receives reports of the crashes also learns of the success.
     uninformed = crash_evidence.CrashEvidence()
     for number in range(3):
         uninformed.crashed(_crash(number, 2_000 + 500 * number, OTHER))
@@ -193,7 +196,10 @@
 
 
 def test_a_request_that_succeeded_long_ago_is_quarantined() -> None:
-    """A new version of an adapter, or of an engine, may change what happens."""
+    """Guards against trusting old successes.
+
+    A new version of an adapter or an engine can turn a request harmful.
+    """
     evidence = crash_evidence.CrashEvidence()
     evidence.succeeded(OTHER, 1_000)
     later_ms = 1_000 + crash_evidence.RECENT_SUCCESS_MS
@@ -206,7 +212,10 @@
 
 
 def test_memory_is_bounded_and_keeps_recurring_suspects() -> None:
-    """A cut of power leaves thousands of suspects; what recurs stays known."""
+    """Guards against losing a harmful request among many suspects.
+
+    A power cut creates thousands of suspects of one crash.
+    """
     evidence = _evidence(
         *(_crash(number, 1_000 * number, HARMFUL) for number in range(3))
     )
@@ -217,7 +226,7 @@
 
 
 def test_evidence_does_not_depend_on_the_order_of_reports() -> None:
-    """Words of crashes overtake each other, and come twice."""
+    """Guards against reports that arrive out of order or twice."""
     seen = _evidence(
         *(_crash(number, 1_000 * number, HARMFUL, OTHER) for number in range(4))
     )
@@ -237,12 +246,13 @@
 
 
 def test_a_missed_clearance_is_sent_despite_a_later_crash() -> None:
-    """A gateway restarts, and learns of two crashes and a third without it.
+    """Guards against a gateway that rejects a cleared request.
 
-    Others know that the request ended well between the second and the third.
-    The third is later than that, so they took the teller for one who knew, and
-    it went on refusing the request. Found by the state machine of crashes, with
-    two cuts of power, one that ends well, and a crash by another request.
+    The request succeeded between the second and the third crash. A restarted
+    gateway knows all three crashes but not the success. Others took its report
+    of the third crash as a sign that it knew the success, and did not send it.
+    The state machine of crashes found this with two power cuts, a success and a
+    crash by another request.
     """
     informed = _evidence(_crash(0, 1_000, OTHER), _crash(1, 3_000, OTHER))
     informed.succeeded(OTHER, 4_000)
@@ -258,13 +268,13 @@
     uninformed.take(clearance)
     assert uninformed.quarantine(OTHER, 5_100) is None
     assert informed.missed_clearance(uninformed.record(OTHER)) is None
-    # One that had heard of an earlier clearance is told of this one, too.
+    # A gateway that knows only an earlier clearance also gets this one.
     behind = crash_evidence.Record(OTHER, report.observations, 500)
     assert informed.missed_clearance(behind) == clearance
 
 
 def test_a_crash_is_reported_by_its_age() -> None:
-    """Each VM counts from its own start, so a time is told as an age."""
+    """Guards against reporting times on a clock that only one VM uses."""
     evidence = _evidence(_crash(0, 1_000, HARMFUL))
     evidence.succeeded(HARMFUL, 1_500)
     for record in (evidence.record(HARMFUL), crash_evidence.Record(HARMFUL)):
@@ -281,7 +291,7 @@
 
 
 def test_a_stored_record_is_converted_to_the_clock_of_its_reader() -> None:
-    """A VM that reads it counts from its own start, and clocks jump."""
+    """Guards against times on another VM's clock, and clocks that jump."""
     evidence = _evidence(
         *(_crash(number, 1_000 * number, HARMFUL) for number in range(3))
     )
@@ -300,7 +310,7 @@
 
 
 def test_equal_requests_have_equal_fingerprints_and_others_do_not() -> None:
-    """Equal requests of two attempts are one; another path or body is not."""
+    """Guards against fingerprints that ignore a part of the request."""
     first = fingerprint_lib.of_request("POST", "shop", b"/chat/x", b"body")
     assert first == fingerprint_lib.of_request(
         "POST", "shop", b"/chat/x", b"body"
@@ -316,7 +326,7 @@
 
 
 def test_a_success_before_the_crash_reports_arrive_clears_a_request() -> None:
-    """Guards against a started gateway that keeps its clearance to itself."""
+    """Guards against a new gateway that does not report a success."""
     first = _evidence(
         _crash(0, 930, OTHER), _crash(1, 1_860, OTHER), _crash(2, 2_790, OTHER)
     )
--- a/tests/fleet/test_foreign_entries.py
+++ b/tests/fleet/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the store that another writer made, or that cannot be read."""
+"""Store entries that are unreadable or were written by other software."""
 
 import json
 from typing import Any
@@ -27,7 +27,7 @@
 GOOD = platform_engine.PlatformEngine("i1", model="base7").listing(
     platform_site.ENGINES, "10.0.0.1:8080", "north"
 )
-# Of no field's type.
+# Values that are invalid for every field, or for most of them.
 WRONG_VALUES = (None, True, -1, 1.5, "", "no such", [7], {"a": 1}, "a\r\nb: c")
 
 
@@ -36,7 +36,7 @@
 
 
 def test_a_valid_entry_is_decoded() -> None:
-    """Whatever else it holds: writers may be newer."""
+    """Guards against rejecting unknown fields, which newer writers may add."""
     assert isinstance(_target(GOOD), roster_lib.Listing)
     assert isinstance(_target(GOOD | {"x": [1]}), roster_lib.Listing)
 
@@ -49,10 +49,10 @@
     | strategies.lists(strategies.integers(), max_size=2),
 )
 def test_an_invalid_entry_is_rejected(field: str, value: Any) -> None:
-    """Requests are sent to a target whose state is not known.
+    """Guards against requests to a target whose state is unknown.
 
-    The state ``resting`` was taken for ready, and an address of null and a
-    service of 7 were listed, since fields were read without a look at them.
+    Fields were not validated: the state ``resting`` counted as ready, and an
+    address of null and a service of 7 were listed.
     """
     spec = GOOD | {field: value}
     listing = _target(spec)
@@ -78,7 +78,7 @@
     )
 )
 def test_an_entry_without_a_required_field_is_rejected(spec: Any) -> None:
-    """A missing field was taken for an empty one."""
+    """Guards against treating a missing field as an empty one."""
     assert not isinstance(_target(spec), roster_lib.Listing)
 
 
@@ -94,7 +94,7 @@
             not follower.failing_since_ms
             and follower.revision >= fleet.store.revision
         ),
-        "the gateway has read what the store holds",
+        "the gateway has read the current state of the store",
     )
 
 
@@ -104,7 +104,7 @@
 
 
 def test_a_target_whose_entry_becomes_invalid_gets_no_requests() -> None:
-    """An entry that turns unreadable leaves in force what it said before."""
+    """Guards against using the previous state of an entry that is invalid."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
@@ -121,11 +121,11 @@
 
 
 def test_an_entry_of_an_unknown_service_does_not_replace_a_target() -> None:
-    """A target gets no more work because of an entry that nobody can use.
+    """Guards against dropping a target because of an unusable entry.
 
-    Another writer enters a service that no configuration names, at the
-    address of a target. The target counted as gone, as its entry is older.
-    Once a configuration names the service, the entry is used.
+    Another writer adds an entry at the address of a target, for a service that
+    is not configured. The target counted as gone, because its entry is older.
+    The new entry is used once the service is configured.
     """
 
     async def play() -> None:
@@ -153,10 +153,11 @@
 
 
 def test_one_invalid_object_does_not_hide_the_others() -> None:
-    """A gateway reads the list of targets again and again, in vain.
+    """Guards against a gateway that can never read the list of targets.
 
-    One object of many has no name, or holds bytes that are no text. The whole
-    answer counted as unreadable, or the reader broke off and began anew.
+    One object of many has no name or contains bytes that are not valid text.
+    The whole response counted as unreadable, or the reader failed and restarted
+    indefinitely.
     """
 
     async def play() -> None:
@@ -172,7 +173,7 @@
                 fleet.store.objects[kind]["c-none"]["spec"] = None
             other = f"{fleet.host()}:{fixtures.TARGET_PORT}"
             fleet.store.put(TARGETS, "i-plain9", spec | {"address": other})
-            # Read by a watch, then by a list.
+            # Checks the watch, then the list.
             await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0", "i-plain9"}
             for follower in gateway.knowledge.followers.values():
@@ -188,7 +189,7 @@
 
 
 def test_announced_versions_are_integers() -> None:
-    """A version that is none was announced, or stopped the reader."""
+    """Guards against invalid versions that are announced or stop the reader."""
     good = {"model": "base7", "adapter": "a1", "version": 2}
     assert wire.announced(good).version == 2
     for field in good:
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -34,7 +34,7 @@
 
 
 def _run(play: Play, *, engines: int = 0, plain: int = 0) -> None:
-    """Plays with several gateways that know each other."""
+    """Runs a scenario with several gateways that know each other."""
 
     async def played() -> None:
         async with fixtures.running_fleet(
--- a/tests/fleet/test_starts.py
+++ b/tests/fleet/test_starts.py
@@ -1,4 +1,4 @@
-"""A target that starts again under its name."""
+"""Targets that restart under their names."""
 
 import dataclasses
 import json
@@ -47,10 +47,11 @@
 
 
 def test_a_target_that_restarts_under_its_name_gets_requests() -> None:
-    """A target that restarts gets no work from a gateway, for good.
+    """Guards against a gateway that never uses a restarted target again.
 
-    It answers that the start which was asked for is over, and registers again
-    under its name. The proof was kept for the name, not for that start.
+    The target replies that the requested incarnation has ended, and registers
+    again under its name. The gateway stored this for the name instead of the
+    incarnation.
     """
     roster = _roster()
     roster.failed("i1", 0)
@@ -62,11 +63,11 @@
 
 
 def test_a_later_incarnation_may_have_an_earlier_start_time() -> None:
-    """A target is taken for its former start after its clock was set back.
+    """Guards against ignoring a restart after a target's clock was set back.
 
-    The entry's revision says which state is later; births only tell starts
-    apart. An entry of the former start that comes once more changes nothing,
-    whichever revision it bears.
+    The revision of an entry shows which state is later. Start times only
+    distinguish incarnations. A repeated entry of the former incarnation changes
+    nothing, whatever its revision.
     """
     roster = _roster(born_ms=9_000)
     roster.upsert(_listing(born_ms=2_000, changed_at=4))
@@ -77,10 +78,10 @@
 
 
 def test_an_older_state_of_an_entry_changes_nothing() -> None:
-    """A target that leaves gets work again, or a start that is over does.
+    """Guards against using a draining target or an ended incarnation again.
 
-    A peer tells what it has read, which may be older than what is known here:
-    the same start before it left, or one that was never heard of here.
+    A peer reports what it has read, which may be older than the known state:
+    the same incarnation before it was draining, or an unknown earlier one.
     """
     roster = _roster(changed_at=5, leaving=True)
     roster.upsert(_listing(changed_at=3))
@@ -92,9 +93,9 @@
 
 
 def test_a_missing_start_time_changes_nothing() -> None:
-    """What was seen of a target is forgotten with each of its entries.
+    """Guards against losing a target's health with each entry.
 
-    A writer that tells no birth, or stops telling it, is no new start.
+    An entry without a start time does not mean a new incarnation.
     """
     roster = _roster()
     member = roster.members["i1"]
@@ -105,11 +106,11 @@
 
 
 def test_a_target_that_changes_its_service_is_found_there() -> None:
-    """Requests for a service are sent to a target that has left it.
+    """Guards against requests to a target that now runs another service.
 
-    It starts again under its name for another service, at another address,
-    which another target had before. The index by service was made anew only
-    for new names.
+    The target restarts under its name for another service, at an address that
+    another target had before. The index by service was updated only for new
+    names.
     """
     roster = _roster()
     roster.upsert(_listing(instance="i2", address="10.0.0.2:80"))
@@ -123,11 +124,11 @@
 
 
 def test_status_updates_of_a_former_incarnation_are_ignored() -> None:
-    """Requests are sent to an engine for adapters that it held before.
+    """Guards against requests for adapters that an engine held before.
 
-    Its process told what the former start held; the entry of the new start
-    came, and the word still counted, as it bears the same name. What the
-    engine fetches fast since it held it lately is over, too.
+    The sidecar reported the adapters of the former incarnation, and the report
+    still counted after the new incarnation was listed, because both have the
+    same name. The list of adapters that load quickly is outdated as well.
     """
     roster = _roster()
     placement = placement_lib.Placement(fixtures.seeded(), "north")
@@ -149,10 +150,11 @@
 
 
 def test_adapters_of_a_former_incarnation_are_not_fast_to_load() -> None:
-    """Callers wait for loads that are expected at once and take a fetch.
+    """Guards against preferring loads that need a fetch after a restart.
 
-    An engine restarts between two reports under the same name. What it held
-    before counted as still in its memory, and went before other loads.
+    An engine restarts under its name between two reports. Its former adapters
+    counted as still in its memory and were loaded before others, so that
+    callers waited for the fetches.
     """
     keeper = adapter_keeper.Keeper()
     want = adapter_keeper.Want
@@ -181,10 +183,10 @@
 
 
 def test_requests_of_a_former_incarnation_occupy_no_adapter_slot() -> None:
-    """A load waits two seconds for the place of an adapter that nobody uses.
+    """Guards against a load that waits two seconds for an unused adapter slot.
 
-    The engine restarts while requests run there. They ended with it, but
-    counted as in flight until the words that told them had grown old.
+    The engine restarts while requests are running, which fail. They counted as
+    in flight until the messages that reported them expired.
     """
     keeper = adapter_keeper.Keeper()
     use = adapter_keeper.Use(ADAPTER, 3, 3)
@@ -201,11 +203,11 @@
 
 
 def test_a_name_that_was_rejected_once_gets_orders_again() -> None:
-    """An engine that is back under a former name stays empty for good.
+    """Guards against an engine that never gets orders after a restart.
 
-    Another engine ran on its VM meanwhile and refused orders to the former
-    name. The process beside it kept that for the name: gateways that name the
-    engine which now runs were not heard.
+    The engine returns under a former name. Another engine on its VM had
+    rejected orders for that name, and the sidecar went on to ignore gateways
+    that named it.
     """
 
     async def play() -> None:
@@ -216,7 +218,7 @@
             engine.restart(engine.born_ms + 1_000)
             fleet.tasks.start_soon(_call_once, fleet)
             await fleet.until(
-                lambda: not sidecar.instance, "the other engine refuses"
+                lambda: not sidecar.instance, "the other engine rejects orders"
             )
             engine.instance = NAME
             engine.restart(engine.born_ms + 1_000)
@@ -232,10 +234,10 @@
 
 
 def test_late_failures_of_a_former_incarnation_do_not_count() -> None:
-    """A target that has just restarted is passed over.
+    """Guards against ejecting a target that has just restarted.
 
-    Requests of its former start fail when it ends; the last of them after the
-    new start was listed, and the failure counted against that.
+    Requests to the former incarnation fail when it ends. The last of them
+    failed after the new incarnation was listed, and counted against that one.
     """
 
     async def play() -> None:
@@ -248,7 +250,7 @@
                 lambda: (
                     gateway.roster.members[NAME].listing.born_ms == spec["born"]
                 ),
-                "the new start is listed",
+                "the new incarnation is listed",
             )
             for outcome in fixtures.BAD_OUTCOMES:
                 gateway.evidence.record_outcome(former, outcome, ADAPTER)
@@ -270,11 +272,12 @@
 
 
 def test_a_restarted_engine_is_used_before_its_entry_changes() -> None:
-    """Requests for what an engine held go there until its entry has changed.
+    """Guards against requests for adapters that a restarted engine lost.
 
-    The engine restarts under its name; its process sees that in the next
-    report, the store's list tells it seconds later. What the process saw, one
-    start after the other, counts; the older entry changes nothing.
+    The engine restarts under its name. Its sidecar observes this in the next
+    report, seconds before the store's list shows it. The order of the
+    incarnations that the sidecar reports is used, and an older entry changes
+    nothing.
     """
 
     async def play() -> None:
@@ -288,7 +291,7 @@
                 lambda: (
                     gateway.roster.members[NAME].listing.born_ms == spec["born"]
                 ),
-                "the gateway knows of the new start",
+                "the gateway knows of the new incarnation",
             )
             again = await fleet.call("/chat/x", adapter="a1")
             assert again.status == 200, again
@@ -306,11 +309,11 @@
 
 
 def test_a_delayed_message_does_not_restore_a_former_incarnation() -> None:
-    """A gateway believes a start that is over, and the one that runs is lost.
+    """Guards against replacing the current incarnation by an ended one.
 
-    Words wait in the socket of a gateway that stands still while an engine
-    restarts twice. After it has read the list, an old word tells of the second
-    start, which the gateway never knew.
+    Messages wait in the socket of a paused gateway while an engine restarts
+    twice. After the gateway has read the list, it receives a message about the
+    second incarnation, which it did not know.
     """
 
     async def play() -> None:
@@ -339,19 +342,19 @@
 
 
 def test_start_times_are_integers() -> None:
-    """An entry whose birth is none names no target."""
+    """Guards against entries with an invalid start time."""
     for born in ("1", 1.5, True, None, [1]):
         spec = {"service": "s", "address": "10.0.0.1:80", "born": born}
         assert not isinstance(wire.target("i1", spec, 1), roster_lib.Listing)
 
 
 def test_an_incarnation_that_is_listed_last_is_never_lost() -> None:
-    """A target that has restarted twice gets no work from a gateway, for good.
+    """Guards against a gateway that never uses a target after two restarts.
 
-    The process beside it sees the third start follow the first, and tells;
-    then the gateway reads the entry that the second one wrote before it ended.
-    The third had been taken for over by that, and its own entry, which comes
-    last, was passed over.
+    The sidecar observes that the third incarnation follows the first, and
+    reports it. The gateway then reads the entry that the second one wrote
+    before it ended. This marked the third incarnation as ended, and its own
+    entry, which arrives last, was ignored.
     """
     roster = _roster(born_ms=1_000)
     third = incarnation.IncarnationId("i1", 3_000)
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -1,4 +1,4 @@
-"""Usage caps: what one gateway sends, lends and borrows; what callers see."""
+"""Usage caps: sending, lending and borrowing of gateways, and rejections."""
 
 import random
 from typing import Any
@@ -23,7 +23,7 @@
 RULES = usage_shares.Rules(8_000)
 CAP = usage_cap.UsageCap(100.0, 200.0, usage_cap.CostUnit.TOKEN, 10.0)
 TOTAL = RULES.bucket(CAP)
-# What one of four gateways may send at once.
+# Share of one of four gateways.
 SHARE = TOTAL.depth / 4
 STARTED_MS = 1_000_000
 NOW_MS = STARTED_MS + 60_000
@@ -65,7 +65,7 @@
 
 
 def test_a_sliding_sum_is_never_too_small() -> None:
-    """Guards against a sum that begins anew at a boundary."""
+    """Guards against a sum that is reset at the boundary of a window."""
     source = random.Random(3)
     window_sum = sliding_sum.SlidingSum(1_000, 50)
     costs: list[tuple[int, float]] = []
@@ -80,7 +80,7 @@
 
 
 def test_a_sliding_sum_without_new_costs_drops_to_zero() -> None:
-    """Guards against a sum that refuses for ever, or leaks memory."""
+    """Guards against a sum that never expires, and against a memory leak."""
     window_sum = sliding_sum.SlidingSum(1_000, 50)
     for now_ms in range(0, 100_000, 10):
         window_sum.add(0.1, now_ms)
@@ -102,13 +102,13 @@
     shares.on_loan(loan, NOW_MS + 4)
     assert shares.reserve(ACCOUNT, CAP, loan.amount, NOW_MS + 5) is not None
     assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS + 5) is None
-    # The lender has so much less.
+    # The lender's share is reduced by the loan.
     assert other.reserve(ACCOUNT, CAP, left + 1.0, NOW_MS + 2) is None
     assert other.reserve(ACCOUNT, CAP, left, NOW_MS + 2) is not None
 
 
 def test_the_term_of_a_loan_begins_with_its_request() -> None:
-    """Guards against a loan that is spent after its lender has forgotten it."""
+    """Guards against a loan that is used after the lender counts it no more."""
     shares = _shares()
     _spend_share(shares)
     (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
@@ -119,7 +119,7 @@
 
 
 def test_a_loan_counts_once() -> None:
-    """Guards against a datagram that comes twice, or unasked."""
+    """Guards against a datagram that arrives twice or without a request."""
     shares = _shares()
     _spend_share(shares)
     (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
@@ -134,7 +134,7 @@
 def test_the_reservation_of_a_request_that_did_not_run_is_released_once() -> (
     None
 ):
-    """Guards against a cap that shrinks with refusals of targets."""
+    """Guards against a cap that shrinks when targets reject requests."""
     shares = _shares()
     booking = shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS)
     for _ in range(2):
@@ -153,12 +153,12 @@
 
 
 def test_only_accounts_with_full_buckets_are_dropped() -> None:
-    """Guards against books that are dropped and opened again with more."""
+    """Guards against accounts that gain capacity when they are dropped."""
     shares = _shares(started_ms=NOW_MS - 60_000)
     _spend_share(shares)
     shares.forget(NOW_MS + 100)
     assert shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS + 100) is None
-    # A deep bucket takes longer to fill than a window.
+    # A deep bucket takes longer than a window to refill.
     deep = _shares(rules=usage_shares.Rules(8_000, 0.0, 10_000.0), started_ms=0)
     depth = usage_shares.Rules(8_000, 0.0, 10_000.0).bucket(CAP).depth / 4
     assert deep.reserve(ACCOUNT, CAP, depth, NOW_MS) is not None
@@ -186,7 +186,7 @@
 
 
 def test_a_large_request_gathers_loans() -> None:
-    """Guards against a large request that no single part ever pays for."""
+    """Guards against never serving a request that exceeds each share."""
     names = {f"gateway{number}": _shares() for number in range(1, 4)}
     shares = _shares()
     cost, now_ms = 2.5 * SHARE, NOW_MS
@@ -200,7 +200,7 @@
 
 
 def test_few_loan_requests_are_sent_at_the_cap() -> None:
-    """Guards against a rush that becomes a storm of datagrams."""
+    """Guards against an overload that causes very many datagrams."""
     shares = _shares(count=40)
     _spend(shares, TOTAL.depth / 40)
     asked = 0
@@ -217,12 +217,12 @@
 
 
 def test_the_overshoot_stays_within_the_allowed_one() -> None:
-    """Guards against a cap that is lent twice, in touch or cut off."""
+    """Guards against lending a share twice, with and without faults."""
     for scenario in bench.SCENARIOS:
         figures = bench.play("borrowing", scenario, 21, seed=11)
         assert figures["worst_window"] <= figures["allowed"], scenario.name
         if scenario.load > 1:
-            # Beyond the cap it depends on the order which requests are owed.
+            # Above the cap, the admitted requests depend on their order.
             continue
         is_hurt = scenario.cut_count or scenario.one_dies
         aim = 0.05 if is_hurt or scenario.restarts_all else 0.01
@@ -230,7 +230,7 @@
 
 
 def test_an_account_beyond_its_cap_is_served_steadily() -> None:
-    """Guards against a rush that shuts its account out for seconds."""
+    """Guards against an overload that blocks its account for seconds."""
     scenario = bench.SCENARIOS[3]
     world = usage.World(bench.RULES, bench.CAP, 21, random.Random(7))
     names = list(world.gateways)
@@ -252,13 +252,13 @@
 
 
 def test_an_account_far_below_its_cap_causes_few_messages() -> None:
-    """Guards against a cost of caps that grows with accounts."""
+    """Guards against traffic that grows with the number of accounts."""
     (usual, *_) = bench.SCENARIOS
     assert bench.play("borrowing", usual, 21, seed=5)["bytes_per_s"] < 50
 
 
 def test_messages_are_decoded_as_they_were_encoded() -> None:
-    """Guards against amounts that are no amounts."""
+    """Guards against lossy encoding and against invalid amounts."""
     for message in (
         usage_loan.LoanRequest(ACCOUNT, 2**31, 9_190.0, 12_000.5),
         usage_loan.Loan(ACCOUNT, 2**31, 0.0, 17.25),
@@ -270,7 +270,7 @@
 
 
 def test_a_cap_holds_over_two_gateways_and_sets_retry_after() -> None:
-    """Guards against a cap of each gateway, and a 429 that says nothing."""
+    """Guards against one cap per gateway, and a 429 without Retry-After."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=1) as fleet:
@@ -283,17 +283,17 @@
                     lambda gateway=gateway: (
                         gateway.peers.count >= 3 and not gateway.ready()
                     ),
-                    "gateways know each other",
+                    "the gateways know each other",
                 )
-            # Books of processes that have run for a window already.
+            # Simulates processes that have been running for a window.
             for gateway in gateways:
                 gateway.usage_caps._books._started_ms -= 120_000
             await _cap(fleet, ratePerS=0.01, burst=40)
             await fleet.until(
                 lambda: all(one.table.version == 2 for one in gateways),
-                "the cap is in force at both",
+                "the cap is in force at both gateways",
             )
-            # All come to one gateway, which borrows what the others have.
+            # Most requests arrive at one gateway, which borrows from the other.
             answers = await _calls(fleet, 20, first)
             answers += await _calls(fleet, 10, second)
             served = [one for one in answers if one.status == 200]
@@ -312,7 +312,7 @@
 
 
 def test_requests_that_a_target_rejects_do_not_count() -> None:
-    """Guards against requests that count though no target ran them."""
+    """Guards against charging requests that no target ran."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -333,7 +333,7 @@
 
 
 def test_the_proof_reaches_the_cap() -> None:
-    """Guards against a world in which no cap ever binds."""
+    """Guards against a simulation in which the cap never takes effect."""
     before = usage.COUNTS["judged at the cap"]
     world = usage.World(
         usage.UsageMachine.RULES, usage.UsageMachine.CAP, 5, random.Random(1)
--- a/tests/stack/test_dissemination.py
+++ b/tests/stack/test_dissemination.py
@@ -1,4 +1,4 @@
-"""News reaches every process, through losses, from one that knows it."""
+"""Dissemination of versions to all processes despite lost datagrams."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 def _spread(loss: float, versions: int) -> list[int]:
-    """Lets one member learn of commits; returns what each holds at the end."""
+    """Gives commits to one member; returns the final version of each member."""
     source = random.Random(7)
     addresses = [("10.0.0.1", port) for port in range(MEMBERS)]
     members = {}
@@ -66,12 +66,12 @@
 
 
 def test_versions_reach_every_member_despite_losses() -> None:
-    """A fifth of the datagrams is lost; nobody stays behind."""
+    """Guards against members that stay behind if 20 % of datagrams are lost."""
     assert set(_spread(LOSS, 12)) == {12}
 
 
 def test_old_and_repeated_events_change_nothing() -> None:
-    """A digest or commit that is old never lowers a version."""
+    """Guards against an old commit or version that lowers the version."""
     member = dissemination.Dissemination(
         ("10.0.0.1", 1), random_source=random.Random(1)
     )
@@ -83,7 +83,7 @@
 
 
 def test_a_peer_that_lags_behind_gets_the_missing_commits() -> None:
-    """The answer to an old digest is the commits after it, in order."""
+    """Guards against gaps and a wrong order in the response to a digest."""
     member = dissemination.Dissemination(
         ("10.0.0.1", 1), random_source=random.Random(1)
     )
@@ -98,7 +98,7 @@
 
 
 def test_draining_targets_are_forwarded_until_they_expire() -> None:
-    """Names heard are told for a while, then dropped."""
+    """Guards against names that are not forwarded or that never expire."""
     member = dissemination.Dissemination(
         ("10.0.0.1", 1), random_source=random.Random(1)
     )
--- a/tests/stack/test_ledger.py
+++ b/tests/stack/test_ledger.py
@@ -1,4 +1,4 @@
-"""What the ledger must not forget."""
+"""Records that the ledger must keep."""
 
 from radishstack.process import ledger as ledger_lib
 
@@ -19,14 +19,13 @@
 
 
 def test_a_seal_is_kept_after_a_rejected_claim() -> None:
-    """A key sealed for another target is never run without asking it.
-
-    Symptom: a booking made twice while its service moved. Sequence: the new
-    home seals the key at the old one and runs it; an entry that still holds
-    the old version submits it to the old home twice. The first claim there
-    is refused, since the new home has not finished asking; the second found
-    a record that no longer named the new home, asked nobody and ran it.
-    Cause: the claim replaced the seal. Found by proofs.soak, seed 10.
+    """Guards against running a key twice while its service moves.
+
+    The new home seals the key at the old home and runs it. An entry daemon with
+    the old version submits the key to the old home twice. The first claim is
+    rejected, because the new home is still asking. The claim had replaced the
+    seal, so the second submission found no reason to ask the new home, and the
+    key ran again. Found by proofs.soak, seed 10.
     """
     ledger = ledger_lib.Ledger(quarantine_until_ms=0)
     sealing = ledger.seal(KEY, asker="desk-2", window_ms=1_000, now_ms=5)
@@ -42,7 +41,7 @@
 
 
 def test_seals_of_several_targets_are_all_kept() -> None:
-    """A service that moves twice leaves two targets to ask."""
+    """Guards against asking only one target after a service moved twice."""
     ledger = ledger_lib.Ledger(quarantine_until_ms=0)
     for name in ("desk-2", "desk-3"):
         ledger.seal(KEY, asker=name, window_ms=1_000, now_ms=5)
@@ -50,7 +49,7 @@
 
 
 def test_a_full_ledger_rejects_new_keys() -> None:
-    """Forgetting one key early to make room could run it twice."""
+    """Guards against dropping a record early, so that its key can run twice."""
     ledger = ledger_lib.Ledger(quarantine_until_ms=0, max_records=1)
     _claim(ledger, b"1", ledger_lib.KeyState.QUEUED)
     verdict = ledger.decide(
