--- a/bench/usage_caps.py
+++ b/bench/usage_caps.py
@@ -17,13 +17,13 @@
 
 import click
 from radishstack.process import sliding_sum
+from radishstack.process import usage_books
 from radishstack.process import usage_cap
-from radishstack.process import usage_shares
 
 from proofs import usage
 
 RESULT = pathlib.Path(__file__).parent / "results" / "usage-caps.json"
-RULES = usage_shares.Rules(8_000, 0.1, 110_000.0)
+RULES = usage_books.Rules(8_000, 0.1, 110_000.0)
 CAP = usage_cap.UsageCap(120_000.0, 120_000.0, usage_cap.CostUnit.TOKEN)
 # Small requests, and one in fifty that is fourteen times as large.
 COSTS = (650.0, 9_190.0)
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -20,9 +20,9 @@
 from radishstack.process import roster as roster_lib
 from radishstack.process import shared_budget
 from radishstack.process import target_rate_limits
+from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
-from radishstack.process import usage_shares
 from radishstack.version import route_table
 
 from radishd import peers as peers_lib
@@ -141,7 +141,7 @@
         self.load_requests = self.sidecars.load_requests
         self.callers = callers_port.CallersPort(self)
         self.usage_caps = usage_caps.UsageCaps(
-            usage_shares.Rules(
+            usage_books.Rules(
                 self.own.usage_window_ms,
                 self.own.usage_overage,
                 self.own.usage_tolerance,
--- a/packages/radishd/src/radishd/process/usage_caps.py
+++ b/packages/radishd/src/radishd/process/usage_caps.py
@@ -11,9 +11,9 @@
 import anyio
 import anyio.abc
 from radishstack import result
+from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
-from radishstack.process import usage_shares
 from radishstack.version import client_account
 
 from radishd.process import clock
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        rules: usage_shares.Rules,
+        rules: usage_books.Rules,
         others: Callable[[], Collection[str]],
         gateway_count: Callable[[], int],
         find_cap: FindCap,
@@ -65,7 +65,7 @@
         self._metrics = metrics
         self._random = random_source
         self._forgot_ms = clock.boot_ms()
-        self._books = usage_shares.UsageShares(
+        self._books = usage_books.UsageShares(
             rules, others, gateway_count, self._forgot_ms, random_source
         )
         self._answered: dict[str, anyio.Event] = {}
@@ -84,7 +84,7 @@
         self,
         account: client_account.ClientAccount | None,
         token_count: int | None,
-    ) -> result.Outcome[usage_shares.Reservation | None]:
+    ) -> result.Outcome[usage_books.Reservation | None]:
         """Books a request of an account, or rejects it.
 
         Args:
@@ -110,8 +110,8 @@
         return self._reject(name, cap, cost)
 
     def rebook(
-        self, booking: usage_shares.Reservation | None
-    ) -> result.Outcome[usage_shares.Reservation | None]:
+        self, booking: usage_books.Reservation | None
+    ) -> result.Outcome[usage_books.Reservation | None]:
         """Books a request anew that waited too long since its booking."""
         if booking is None:
             return None
@@ -127,14 +127,14 @@
         renewed = self._books.reserve(name, cap, booking.cost, now_ms)
         return renewed or self._reject(name, cap, booking.cost)
 
-    def release(self, booking: usage_shares.Reservation | None) -> None:
+    def release(self, booking: usage_books.Reservation | None) -> None:
         """Gives a booking back whose request provably did not run."""
         if booking is not None:
             self._books.release(booking)
 
     async def _borrow_and_book(
         self, name: str, cap: usage_cap.UsageCap, cost: float
-    ) -> usage_shares.Reservation | None:
+    ) -> usage_books.Reservation | None:
         until_ms = clock.boot_ms() + LOAN_WAIT_MS
         while True:
             now_ms = clock.boot_ms()
@@ -147,7 +147,7 @@
             await self._ask(name, self._books.missing(name, cap, cost, now_ms))
             if self._books.is_borrowing_paused(name, now_ms):
                 return None
-            pause_ms = min(usage_shares.LOAN_TIMEOUT_MS, until_ms - now_ms)
+            pause_ms = min(usage_books.LOAN_TIMEOUT_MS, until_ms - now_ms)
             with anyio.move_on_after(pause_ms / MS_PER_S):
                 await event.wait()
             booking = self._books.reserve(name, cap, cost, clock.boot_ms())
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -18,7 +18,7 @@
 from radishstack.process import crash_evidence
 from radishstack.process import placement as placement_lib
 from radishstack.process import roster as roster_lib
-from radishstack.process import usage_shares
+from radishstack.process import usage_books
 from radishstack.request import admission as admission_lib
 from radishstack.request import event_stream
 from radishstack.request import fingerprint as fingerprint_lib
@@ -92,7 +92,7 @@
         body: bytes,
         send: web.Send,
         arrived_at_ms: int,
-        booking: usage_shares.Reservation | None = None,
+        booking: usage_books.Reservation | None = None,
     ) -> None:
         """Starts with a request that has been read whole.
 
--- a/proofs/usage.py
+++ b/proofs/usage.py
@@ -16,9 +16,9 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 from radishstack.connection import fleet_wire
+from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
-from radishstack.process import usage_shares
 
 COUNTS: collections.Counter[str] = collections.Counter()
 ACCOUNT = "crew"
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        rules: usage_shares.Rules,
+        rules: usage_books.Rules,
         cap: usage_cap.UsageCap,
         count: int,
         source: random.Random,
@@ -152,7 +152,7 @@
         """Starts the process again, with empty books."""
         self.run += 1
         self._inbox.clear()
-        self.books = usage_shares.UsageShares(
+        self.books = usage_books.UsageShares(
             self.world.rules,
             lambda: self.others,
             lambda: self.world.count,
@@ -257,7 +257,7 @@
     """One account, at and beyond its cap, at gateways under faults."""
 
     GATEWAYS = 5
-    RULES = usage_shares.Rules(4_000, 0.1, 2_000.0)
+    RULES = usage_books.Rules(4_000, 0.1, 2_000.0)
     CAP = usage_cap.UsageCap(10_000.0, 10_000.0, usage_cap.CostUnit.TOKEN)
 
     def __init__(self) -> None:
--- a/soak/accounts.py
+++ b/soak/accounts.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from radishd.connection import http_client
+from radishstack.process import usage_books
 from radishstack.process import usage_cap
-from radishstack.process import usage_shares
 from standins import platform_site
 
 from soak import history as history_lib
@@ -22,7 +22,7 @@
 KEYS = {STEADY: "steady-key", CAPPED: "capped-key"}
 FORGED = "forged-key"
 WINDOW_MS = 4_000
-RULES = usage_shares.Rules(WINDOW_MS, 0.1, 10.0)
+RULES = usage_books.Rules(WINDOW_MS, 0.1, 10.0)
 CAP = usage_cap.UsageCap(15.0, 30.0)
 # Shares of callers' requests by account; the rest of them have no key.
 SHARES = ((STEADY, 0.7), (ROTATING, 0.15), (CAPPED, 0.08), (FORGED, 0.04))
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -146,7 +146,7 @@
     ),
     mutants.Mutant(
         "a usage cap holds over all gateways",
-        "radishstack/process/usage_shares.py",
+        "radishstack/process/usage_books.py",
         "Bucket(whole.depth / count, whole.per_ms / count)",
         "Bucket(whole.depth, whole.per_ms)",
         _seeds(450, Kind.RUSH),
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -7,9 +7,9 @@
 from radishstack import result
 from radishstack.connection import fleet_wire
 from radishstack.process import sliding_sum
+from radishstack.process import usage_books
 from radishstack.process import usage_cap
 from radishstack.process import usage_loan
-from radishstack.process import usage_shares
 from standins import platform_engine
 from standins import platform_site
 
@@ -20,7 +20,7 @@
 KEY = "k3y-of-the-crew-9f1c"
 BEARER = f"Bearer {KEY}"
 ACCOUNT = "crew"
-RULES = usage_shares.Rules(8_000)
+RULES = usage_books.Rules(8_000)
 CAP = usage_cap.UsageCap(100.0, 200.0, usage_cap.CostUnit.TOKEN, 10.0)
 TOTAL = RULES.bucket(CAP)
 # Share of one of four gateways.
@@ -31,16 +31,16 @@
 
 def _shares(
     count: int = 4,
-    rules: usage_shares.Rules = RULES,
+    rules: usage_books.Rules = RULES,
     started_ms: int = STARTED_MS,
-) -> usage_shares.UsageShares:
+) -> usage_books.UsageShares:
     names = [f"gateway{number}" for number in range(1, count)]
-    return usage_shares.UsageShares(
+    return usage_books.UsageShares(
         rules, lambda: names, lambda: count, started_ms, random.Random(1)
     )
 
 
-def _spend_share(shares: usage_shares.UsageShares) -> None:
+def _spend_share(shares: usage_books.UsageShares) -> None:
     assert shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS) is not None
     assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS) is None
 
@@ -159,8 +159,8 @@
     shares.forget(NOW_MS + 100)
     assert shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS + 100) is None
     # A deep bucket takes longer than a window to refill.
-    deep = _shares(rules=usage_shares.Rules(8_000, 0.0, 10_000.0), started_ms=0)
-    depth = usage_shares.Rules(8_000, 0.0, 10_000.0).bucket(CAP).depth / 4
+    deep = _shares(rules=usage_books.Rules(8_000, 0.0, 10_000.0), started_ms=0)
+    depth = usage_books.Rules(8_000, 0.0, 10_000.0).bucket(CAP).depth / 4
     assert deep.reserve(ACCOUNT, CAP, depth, NOW_MS) is not None
     deep.forget(NOW_MS + 20_000)
     assert deep.reserve(ACCOUNT, CAP, depth, NOW_MS + 20_000) is None
@@ -174,7 +174,7 @@
 def test_no_window_holds_more_than_a_bucket_and_its_loans() -> None:
     """Guards against a bucket that is larger than the rules allow."""
     for overage, tolerance in ((0.0, 0.0), (0.1, 0.0), (0.1, 110_000.0)):
-        rules = usage_shares.Rules(8_000, overage, tolerance)
+        rules = usage_books.Rules(8_000, overage, tolerance)
         for burst in (0.0, 100.0, 120_000.0):
             cap = usage_cap.UsageCap(120_000.0, burst)
             limit = cap.limit(rules.window_ms)
@@ -209,10 +209,10 @@
             asked += 1
             loan = usage_loan.Loan(ACCOUNT, ask.number, 0.0, 0.0)
             shares.on_loan(loan, now_ms)
-    assert asked <= 5 * usage_shares.MAX_FAILED_LOAN_REQUESTS, asked
+    assert asked <= 5 * usage_books.MAX_FAILED_LOAN_REQUESTS, asked
 
 
-def _spend(shares: usage_shares.UsageShares, cost: float) -> None:
+def _spend(shares: usage_books.UsageShares, cost: float) -> None:
     assert shares.reserve(ACCOUNT, CAP, cost, NOW_MS) is not None
 
 
