--- a/packages/radishstack/src/radishstack/process/incarnation.py
+++ b/packages/radishstack/src/radishstack/process/incarnation.py
@@ -27,7 +27,7 @@
     name: str
     born_ms: int = 0
 
-    def is_other(self, other: "IncarnationId") -> bool:
+    def is_other(self, other: "Start") -> bool:
         """Whether the incarnations are known to differ."""
         if self.name != other.name:
             return True
--- a/tests/fleet/test_foreign_entries.py
+++ b/tests/fleet/test_foreign_entries.py
@@ -94,7 +94,7 @@
             not follower.failing_since_ms
             and follower.revision >= fleet.store.revision
         ),
-        "the gateway has read the current state of the store",
+        "the gateway has read what the store holds",
     )
 
 
--- a/tests/fleet/test_starts.py
+++ b/tests/fleet/test_starts.py
@@ -218,7 +218,7 @@
             engine.restart(engine.born_ms + 1_000)
             fleet.tasks.start_soon(_call_once, fleet)
             await fleet.until(
-                lambda: not sidecar.instance, "the other engine rejects orders"
+                lambda: not sidecar.instance, "the other engine refuses"
             )
             engine.instance = NAME
             engine.restart(engine.born_ms + 1_000)
@@ -250,7 +250,7 @@
                 lambda: (
                     gateway.roster.members[NAME].listing.born_ms == spec["born"]
                 ),
-                "the new incarnation is listed",
+                "the new start is listed",
             )
             for outcome in fixtures.BAD_OUTCOMES:
                 gateway.evidence.record_outcome(former, outcome, ADAPTER)
@@ -291,7 +291,7 @@
                 lambda: (
                     gateway.roster.members[NAME].listing.born_ms == spec["born"]
                 ),
-                "the gateway knows of the new incarnation",
+                "the gateway knows of the new start",
             )
             again = await fleet.call("/chat/x", adapter="a1")
             assert again.status == 200, again
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -283,7 +283,7 @@
                     lambda gateway=gateway: (
                         gateway.peers.count >= 3 and not gateway.ready()
                     ),
-                    "the gateways know each other",
+                    "gateways know each other",
                 )
             # Simulates processes that have been running for a window.
             for gateway in gateways:
@@ -291,7 +291,7 @@
             await _cap(fleet, ratePerS=0.01, burst=40)
             await fleet.until(
                 lambda: all(one.table.version == 2 for one in gateways),
-                "the cap is in force at both gateways",
+                "the cap is in force at both",
             )
             # Most requests arrive at one gateway, which borrows from the other.
             answers = await _calls(fleet, 20, first)
