--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -92,7 +92,7 @@
         body: bytes,
         send: web.Send,
         arrived_at_ms: int,
-        reservation: usage_books.Booking | None = None,
+        reservation: usage_books.Reservation | None = None,
     ) -> None:
         """Initializes a request whose body was read.
 
@@ -128,7 +128,7 @@
         self.sent_at_ms = 0
         self.cached_fingerprint = ""
         self.is_trial = False
-        self._rate_reservation: rate_limits_lib.Booking | None = None
+        self._rate_reservation: rate_limits_lib.Reservation | None = None
         self._send = send
         spec = gateway.table.services.get(self.service)
         self.needs_adapter = bool(
@@ -151,11 +151,11 @@
         """Releases the reservations of a request that was not sent."""
         self._release_rate_reservation()
         if not self.sent:
-            self.gateway.usage_caps.give_back(self._reservation)
+            self.gateway.usage_caps.release(self._reservation)
 
     def _release_rate_reservation(self) -> None:
         reservation, self._rate_reservation = self._rate_reservation, None
-        self.gateway.rate_limits.give_back(reservation)
+        self.gateway.rate_limits.release(reservation)
 
     def left_ms(self) -> int:
         """Returns how long the caller still waits."""
@@ -213,7 +213,7 @@
         gateway = self.gateway
         gateway.evidence.record_outcome(member, outcome, self.request.adapter)
         if outcome in _NOT_RUN:
-            gateway.usage_caps.give_back(self._reservation)
+            gateway.usage_caps.release(self._reservation)
         if outcome in _POSSIBLE_CRASH:
             gateway.evidence.record_aborted_response(
                 member, self.fingerprint(), self.sent_at_ms
@@ -284,12 +284,12 @@
         return result.Failure(
             result.REQUEST_ENDS_TARGETS,
             f"targets ended at {quarantine.moments} times under this request",
-            max(quarantine.left_ms, crash_evidence.TRIAL_MS),
+            max(quarantine.left_ms, crash_evidence.TRIAL_DELAY_MS),
         )
 
     def _record_completion(self) -> None:
         """Records that the request completed without a crash."""
-        self.gateway.crash_gossip.ended_well(self.fingerprint())
+        self.gateway.crash_gossip.succeeded(self.fingerprint())
 
     def _allowed_targets(self, now_ms: int) -> list[roster_lib.Member]:
         """Returns the targets that may run it, regardless of rate limits."""
@@ -330,7 +330,7 @@
         if limits.is_booked(self._rate_reservation, member):
             return True
         self._release_rate_reservation()
-        self._rate_reservation = limits.book(member)
+        self._rate_reservation = limits.reserve(member)
         return self._rate_reservation is not None
 
     async def _choose_engine(
@@ -391,7 +391,7 @@
         """Returns by when it must be sent to meet its objective."""
         if self.response_started:
             return clock.boot_ms()
-        answer_ms = self.gateway.roster.usual_latency_ms(self.service)
+        answer_ms = self.gateway.roster.median_latency_ms(self.service)
         objective_ms = self.route.objective_ms
         # If engines respond too late for the objective anyway, requests still
         # wait for a short time instead of being rejected.
@@ -715,7 +715,7 @@
             if not piece:
                 return await self._finish_stream(send, head)
             now_ms = clock.boot_ms()
-            health.progressed(now_ms - last_read_at_ms, now_ms)
+            health.record_progress(now_ms - last_read_at_ms, now_ms)
             last_read_at_ms = now_ms
             events = self.events.feed(piece)
             if not events:
--- a/packages/radishstack/src/radishstack/process/dissemination.py
+++ b/packages/radishstack/src/radishstack/process/dissemination.py
@@ -1,10 +1,11 @@
-"""How a new version and news of leaving targets reach every process.
-
-Few processes watch the object API. A process that learns of a commit pushes
-it once to a few random peers, which reaches nearly all in a handful of hops;
-once a second each process tells one random peer which version it holds, and
-whoever is ahead sends what the other lacks, which reaches the rest. The cost
-per process does not depend on how many there are.
+"""Gossips new versions and the names of draining targets to all processes.
+
+Only a few processes watch the object API. A process that receives a commit
+pushes it once to a few random peers, which reaches nearly all processes within
+a few hops. Once per second, each process sends a digest with its version to one
+random peer; of the two, the one that is ahead sends the missing commits. This
+reaches the remaining processes. The cost per process does not depend on the
+number of processes.
 """
 
 from collections.abc import Sequence
@@ -13,36 +14,36 @@
 import random
 
 Address = tuple[str, int]
-MAX_LEAVING = 32
+MAX_DRAINING_NAMES = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DisseminationSettings:
-    """How hard news is pushed.
+    """Limits of the dissemination.
 
     Attributes:
-        fanout: Peers that a new commit is pushed to.
-        kept_commits: Commits kept to send to peers that lag.
-        max_commit_bytes: Largest commit that travels in a datagram; a peer
-            reads a larger one from the object API.
-        max_pushes: Commits sent in answer to one digest.
-        leaving_ms: How long news of a leaving target is passed on.
+        fanout: Number of peers that a new commit is pushed to.
+        kept_commits: Number of commits kept for peers that lag behind.
+        max_commit_bytes: Largest commit that is sent in a datagram. Peers read
+            larger ones from the object API.
+        max_pushes: Maximum number of commits sent in response to one digest.
+        draining_ms: How long the name of a draining target is forwarded.
     """
 
     fanout: int = 3
     kept_commits: int = 256
     max_commit_bytes: int = 1_200
     max_pushes: int = 8
-    leaving_ms: int = 30_000
+    draining_ms: int = 30_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Raised:
-    """A commit came into force here.
+class CommitApplied:
+    """A commit came into force in this process.
 
     Attributes:
-        version: The version it made.
-        data: The commit as it travels.
+        version: The version that it created.
+        data: The encoded commit.
     """
 
     version: int
@@ -50,40 +51,46 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Jumped:
-    """A version came into force here without its commits."""
+class VersionAdvanced:
+    """A version came into force in this process without its commits."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DigestHeard:
-    """A peer told which version it holds, and who leaves."""
+class DigestReceived:
+    """A peer sent its version and the names of draining targets."""
 
     sender: Address
     version: int
     reply: bool
-    leaving: tuple[str, ...]
+    draining: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeavingHeard:
-    """The platform, or the target itself, says that targets leave."""
+class DrainingReported:
+    """The platform, or a target itself, reported draining targets."""
 
     names: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoundDue:
-    """A second has passed."""
+    """The periodic digest is due."""
 
 
-Event = Raised | Jumped | DigestHeard | LeavingHeard | RoundDue
+Event = (
+    CommitApplied
+    | VersionAdvanced
+    | DigestReceived
+    | DrainingReported
+    | RoundDue
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendDigest:
-    """Tell a peer which version is held."""
+    """Send a peer the version of this process."""
 
     to: Address
     reply: bool
@@ -99,7 +106,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadStore:
-    """Read the object API: a peer is further ahead than commits are kept."""
+    """Read the object API, because a peer no longer has the missing commits."""
 
 
 Action = SendDigest | PushCommit | ReadStore
@@ -107,7 +114,7 @@
 
 
 class Dissemination:
-    """What one process tells its peers."""
+    """The dissemination state of one process."""
 
     def __init__(
         self,
@@ -116,19 +123,19 @@
         random_source: random.Random,
         settings: DisseminationSettings | None = None,
     ) -> None:
-        """Starts holding nothing and knowing no peer.
+        """Starts without a version and without peers.
 
         Args:
-            own: This process's own address, which is never picked.
+            own: Address of this process, which is never picked as a peer.
             random_source: Picks the peers.
-            settings: How hard news is pushed.
+            settings: Limits of the dissemination.
         """
         self.own = own
         self.settings = settings or DisseminationSettings()
         self.version = 0
         self.peers: Sequence[Address] = ()
         self.commits: dict[int, bytes] = {}
-        self.leaving: dict[str, int] = {}
+        self.draining: dict[str, int] = {}
         self._random = random_source
 
     def handle(self, event: Event, now_ms: int) -> Actions:
@@ -139,21 +146,21 @@
             now_ms: Monotonic clock.
 
         Returns:
-            What to send.
+            The messages to send.
         """
         return _handle(event, self, now_ms)
 
-    def leaving_names(self, now_ms: int) -> tuple[str, ...]:
-        """Returns the targets that were lately said to leave."""
-        oldest_ms = now_ms - self.settings.leaving_ms
-        self.leaving = {
+    def draining_names(self, now_ms: int) -> tuple[str, ...]:
+        """Returns the targets that were recently reported as draining."""
+        oldest_ms = now_ms - self.settings.draining_ms
+        self.draining = {
             name: at_ms
-            for name, at_ms in self.leaving.items()
+            for name, at_ms in self.draining.items()
             if at_ms >= oldest_ms
         }
-        return tuple(sorted(self.leaving))[:MAX_LEAVING]
+        return tuple(sorted(self.draining))[:MAX_DRAINING_NAMES]
 
-    def pick(self, count: int) -> list[Address]:
+    def pick_peers(self, count: int) -> list[Address]:
         """Picks random peers."""
         if not self.peers:
             return []
@@ -162,7 +169,7 @@
         return sorted(drawn)[:count]
 
     def pushes(self, to: Address, after: int) -> Actions:
-        """Returns what brings a peer forward from a version."""
+        """Returns the commits that follow the version of a peer."""
         last = min(self.version, after + self.settings.max_pushes)
         actions: Actions = []
         for version in range(after + 1, last + 1):
@@ -181,8 +188,8 @@
 
 
 @_handle.register
-def _raised(
-    event: Raised, dissemination: Dissemination, now_ms: int
+def _commit_applied(
+    event: CommitApplied, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     del now_ms
     version, data = event.version, event.data
@@ -190,10 +197,10 @@
         return []
     dissemination.version = version
     if len(data) > dissemination.settings.max_commit_bytes:
-        # Too large for a datagram: tell the version, peers read the store.
+        # Too large for a datagram: peers read it from the object API.
         return [
             SendDigest(peer, False)
-            for peer in dissemination.pick(dissemination.settings.fanout)
+            for peer in dissemination.pick_peers(dissemination.settings.fanout)
         ]
     dissemination.commits[version] = data
     dissemination.commits.pop(
@@ -201,13 +208,13 @@
     )
     return [
         PushCommit(peer, data)
-        for peer in dissemination.pick(dissemination.settings.fanout)
+        for peer in dissemination.pick_peers(dissemination.settings.fanout)
     ]
 
 
 @_handle.register
-def _jumped(
-    event: Jumped, dissemination: Dissemination, now_ms: int
+def _version_advanced(
+    event: VersionAdvanced, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     del now_ms
     if event.version > dissemination.version:
@@ -217,11 +224,11 @@
 
 
 @_handle.register
-def _digest_heard(
-    event: DigestHeard, dissemination: Dissemination, now_ms: int
+def _digest_received(
+    event: DigestReceived, dissemination: Dissemination, now_ms: int
 ) -> Actions:
-    for name in event.leaving:
-        dissemination.leaving.setdefault(name, now_ms)
+    for name in event.draining:
+        dissemination.draining.setdefault(name, now_ms)
     if event.version < dissemination.version:
         pushes = dissemination.pushes(event.sender, event.version)
         if pushes or event.reply:
@@ -229,18 +236,19 @@
         return [SendDigest(event.sender, True)]
     if event.version > dissemination.version:
         if event.reply:
-            # We told our version and got no commits back, only this word.
+            # The peer replied to this process's digest without commits, so it
+            # no longer has them.
             return [ReadStore()]
         return [SendDigest(event.sender, True)]
     return []
 
 
 @_handle.register
-def _leaving_heard(
-    event: LeavingHeard, dissemination: Dissemination, now_ms: int
+def _draining_reported(
+    event: DrainingReported, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     for name in event.names:
-        dissemination.leaving[name] = now_ms
+        dissemination.draining[name] = now_ms
     return []
 
 
@@ -249,4 +257,4 @@
     event: RoundDue, dissemination: Dissemination, now_ms: int
 ) -> Actions:
     del event, now_ms
-    return [SendDigest(peer, False) for peer in dissemination.pick(1)]
+    return [SendDigest(peer, False) for peer in dissemination.pick_peers(1)]
--- a/packages/radishstack/src/radishstack/process/ledger.py
+++ b/packages/radishstack/src/radishstack/process/ledger.py
@@ -1,8 +1,8 @@
-"""Which idempotency keys have run here: at most once, in memory.
+"""Tracks idempotency keys in memory, so that each key runs at most once.
 
-A key has one home among the configured targets, and its home alone may run
-it. What the home cannot know, after a restart or from a former home that
-does not answer, is answered as unknown and never run.
+Each key has one home among the configured targets, and only its home may run
+it. If the home cannot know whether a key has run, because it restarted or a
+former home does not answer, it reports the key as unknown and does not run it.
 """
 
 import dataclasses
@@ -12,13 +12,23 @@
 from radishstack import result
 
 MAX_RECORDS = 100_000
-SEAL_EXTRA_MS = 600_000
+SEAL_EXTRA_RETENTION_MS = 600_000
 
 Key = tuple[str, str]
 
 
 class KeyState(enum.Enum):
-    """What the ledger knows of a key."""
+    """State of a key.
+
+    Attributes:
+        ASKING: Claimed; former homes are being asked for a seal.
+        QUEUED: Claimed and waiting for its dispatch.
+        STARTED: Dispatched.
+        ENDED: Has run.
+        REFUSED: Rejected without having run.
+        SEALED: Sealed; the targets in ``Record.sealed_for`` must be asked
+            before the key runs here.
+    """
 
     ASKING = "asking"
     QUEUED = "queued"
@@ -28,8 +38,8 @@
     SEALED = "sealed"
 
 
-class Sealing(enum.IntEnum):
-    """The answer to a seal request; the number goes on the wire."""
+class SealReply(enum.IntEnum):
+    """The reply to a seal request; the number is sent on the wire."""
 
     SEALED = 0
     RAN = 1
@@ -38,17 +48,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One key.
+    """The record of one key.
 
     Attributes:
-        state: What is known.
-        digest: Digest of the body it was used with.
-        attempt_id: The attempt that owns it.
-        at_ms: Since when it is in this state.
-        keep_until_ms: When it may be forgotten, once it is at rest.
-        sealed_for: Targets that asked for a seal, each of which may have run
-            the key since; they are asked before it is ever run here.
-        window_ms: How long it is remembered after it ended.
+        state: State of the key.
+        digest: Digest of the body that the key was used with.
+        attempt_id: The attempt that owns the key.
+        at_ms: When the key entered this state.
+        keep_until_ms: When the record expires, if its state allows it.
+        sealed_for: Targets that requested a seal. Each of them may have run the
+            key since then and is asked before the key runs here.
+        window_ms: How long the record is kept after the run ended.
     """
 
     state: KeyState
@@ -61,7 +71,17 @@
 
 
 class Verdict(enum.Enum):
-    """What to do with a submission of a key."""
+    """What to do with a submission of a key.
+
+    Attributes:
+        CLAIM: Claim the key and run it.
+        JOIN: Join the attempt that owns the key.
+        REUSED: Reject, because the key was used with another body.
+        QUARANTINED: Reject, because the key may have run before a restart.
+        LATE: Reject, because the request was accepted before the key was
+            reported as not run.
+        FULL: Reject, because the ledger is full.
+    """
 
     CLAIM = "claim"
     JOIN = "join"
@@ -72,15 +92,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judgement:
-    """A verdict with the record it rests on."""
+class Decision:
+    """A verdict and the record that it is based on."""
 
     verdict: Verdict
     record: Record | None = None
 
 
-_AT_REST = (KeyState.ENDED, KeyState.REFUSED, KeyState.SEALED)
-_MAY_CLAIM = (KeyState.REFUSED, KeyState.SEALED)
+_EXPIRABLE_STATES = (KeyState.ENDED, KeyState.REFUSED, KeyState.SEALED)
+_CLAIMABLE_STATES = (KeyState.REFUSED, KeyState.SEALED)
 
 
 class Ledger:
@@ -92,48 +112,50 @@
         """Starts empty.
 
         Args:
-            quarantine_until_ms: Until when a key without a record may have
-                run before this process started.
-            max_records: Bound on records; above it new keys are refused,
-                since forgetting one early could run it twice.
+            quarantine_until_ms: Until when a key without a record may have run
+                before this process started.
+            max_records: Maximum number of records. A full ledger rejects new
+                keys, because a key whose record is dropped early could run
+                twice.
         """
         self.quarantine_until_ms = quarantine_until_ms
         self.max_records = max_records
         self.records: dict[Key, Record] = {}
         self._starts: dict[Key, int] = {}
 
-    def judge(
+    def decide(
         self, key: Key, *, digest: bytes, accepted_at_ms: int, now_ms: int
-    ) -> Judgement:
-        """Decides on a submission, without changing anything.
+    ) -> Decision:
+        """Decides what to do with a submission, without side effects.
 
         Args:
             key: Service and idempotency key.
-            digest: Digest of its body.
-            accepted_at_ms: When the entry accepted it, on this clock.
+            digest: Digest of the request body.
+            accepted_at_ms: When the entry daemon accepted the request, on the
+                clock of this process.
             now_ms: Now.
 
         Returns:
-            The judgement.
+            The decision.
         """
         record = self.records.get(key)
         if record is None:
             if now_ms < self.quarantine_until_ms:
-                return Judgement(Verdict.QUARANTINED)
+                return Decision(Verdict.QUARANTINED)
             if len(self.records) >= self.max_records:
-                return Judgement(Verdict.FULL)
-            return Judgement(Verdict.CLAIM)
+                return Decision(Verdict.FULL)
+            return Decision(Verdict.CLAIM)
         if record.state is KeyState.SEALED:
-            return Judgement(Verdict.CLAIM, record)
+            return Decision(Verdict.CLAIM, record)
         if record.state is KeyState.REFUSED:
-            # A caller was told that the key did not run. A copy that was
-            # accepted before that, and arrives late, would make it a lie.
+            # A caller received the reply that the key did not run. A copy that
+            # was accepted before and arrives late would make the reply false.
             if accepted_at_ms <= record.at_ms:
-                return Judgement(Verdict.LATE, record)
-            return Judgement(Verdict.CLAIM, record)
+                return Decision(Verdict.LATE, record)
+            return Decision(Verdict.CLAIM, record)
         if record.digest != digest:
-            return Judgement(Verdict.REUSED, record)
-        return Judgement(Verdict.JOIN, record)
+            return Decision(Verdict.REUSED, record)
+        return Decision(Verdict.JOIN, record)
 
     def claim(
         self,
@@ -145,16 +167,16 @@
         window_ms: int,
         now_ms: int,
     ) -> None:
-        """Gives a key to an attempt, asking or queued."""
+        """Assigns a key to an attempt, in the state ASKING or QUEUED."""
         record = self.records.get(key)
-        own = record is not None and record.attempt_id == attempt_id
+        is_owner = record is not None and record.attempt_id == attempt_id
         invariant.require(
-            record is None or own or record.state in _MAY_CLAIM,
+            record is None or is_owner or record.state in _CLAIMABLE_STATES,
             result.DISPATCHED_TWICE,
             f"claim of {key} in state {record.state if record else None}",
         )
-        # A seal outlives the claims that follow it: a refused claim proves
-        # nothing about the target the key was sealed for.
+        # The seal is kept, because a rejected claim does not show whether the
+        # target that the key was sealed for has run it.
         self.records[key] = Record(
             state,
             digest,
@@ -166,7 +188,7 @@
         )
 
     def start(self, key: Key, attempt_id: bytes, now_ms: int) -> None:
-        """Marks a key as started, right before its dispatch."""
+        """Marks a key as started, immediately before its dispatch."""
         record = self.records.get(key)
         invariant.require(
             record is not None and record.attempt_id == attempt_id,
@@ -201,7 +223,7 @@
         )
 
     def withdraw(self, key: Key, now_ms: int) -> None:
-        """Undoes a start that the target itself refused as not run."""
+        """Undoes a start that the target rejected without running it."""
         record = self.records[key]
         invariant.require(
             record.state is KeyState.STARTED,
@@ -217,7 +239,7 @@
         )
 
     def refuse(self, key: Key, now_ms: int) -> None:
-        """Marks a claimed key as not run; a later submission may run."""
+        """Marks a claimed key as not run; a later submission may run it."""
         record = self.records[key]
         invariant.require(
             record.state in (KeyState.ASKING, KeyState.QUEUED),
@@ -233,52 +255,53 @@
 
     def seal(
         self, key: Key, *, asker: str, window_ms: int, now_ms: int
-    ) -> Sealing:
-        """Answers a new home that wants to run a key.
+    ) -> SealReply:
+        """Handles a seal request from a new home that is about to run a key.
 
-        Once this says ``SEALED`` the key cannot start here before the asker
-        itself has been asked.
+        After ``SEALED``, the key cannot start here before the asker has been
+        asked in turn.
 
         Args:
             key: Service and idempotency key.
-            asker: The target that wants to run it.
+            asker: The target that is about to run the key.
             window_ms: The service's retry window.
             now_ms: Now.
 
         Returns:
-            Whether it is sealed, ran here, or cannot be known.
+            Whether the key is sealed, has run here, or neither is certain.
         """
         record = self.records.get(key)
         if record is None and now_ms < self.quarantine_until_ms:
-            return Sealing.UNKNOWN
+            return SealReply.UNKNOWN
         if record is not None:
             if record.state in (KeyState.STARTED, KeyState.ENDED):
-                return Sealing.RAN
+                return SealReply.RAN
             if record.state in (KeyState.ASKING, KeyState.QUEUED):
-                return Sealing.UNKNOWN
+                return SealReply.UNKNOWN
         sealed_for = {asker, *(record.sealed_for if record else ())}
         self.records[key] = Record(
             KeyState.SEALED,
             b"",
             b"",
             now_ms,
-            keep_until_ms=now_ms + window_ms + SEAL_EXTRA_MS,
+            keep_until_ms=now_ms + window_ms + SEAL_EXTRA_RETENTION_MS,
             sealed_for=tuple(sorted(sealed_for)),
         )
-        return Sealing.SEALED
+        return SealReply.SEALED
 
     def expire(self, now_ms: int) -> list[bytes]:
-        """Forgets keys at rest whose time is over.
+        """Drops expired records.
 
         Returns:
-            The attempts whose kept answers may go with them.
+            The attempts whose kept responses may be dropped as well.
         """
-        over = [
+        expired = [
             (key, record)
             for key, record in self.records.items()
-            if record.state in _AT_REST and record.keep_until_ms <= now_ms
+            if record.state in _EXPIRABLE_STATES
+            and record.keep_until_ms <= now_ms
         ]
-        for key, _ in over:
+        for key, _ in expired:
             del self.records[key]
             self._starts.pop(key, None)
-        return [record.attempt_id for _, record in over if record.attempt_id]
+        return [record.attempt_id for _, record in expired if record.attempt_id]
--- a/packages/radishstack/src/radishstack/process/placement.py
+++ b/packages/radishstack/src/radishstack/process/placement.py
@@ -114,9 +114,9 @@
     recent: tuple[str, ...] = ()
 
     @property
-    def start(self) -> incarnation.Start:
+    def incarnation_id(self) -> incarnation.IncarnationId:
         """The incarnation of the engine that the update describes."""
-        return incarnation.Start(self.instance, self.born_ms)
+        return incarnation.IncarnationId(self.instance, self.born_ms)
 
     def is_stale(self, now_ms: int) -> bool:
         """Whether the next update is overdue.
@@ -243,7 +243,9 @@
     def handle_update(self, address: str, view: View) -> None:
         """Applies a sidecar's status update, keyed by the target's address."""
         before = self.views.get(address)
-        if before is None or before.start.is_other(view.start):
+        if before is None or before.incarnation_id.is_other(
+            view.incarnation_id
+        ):
             self.warm[address] = {}
         self.views[address] = view
         warm = self.warm[address]
@@ -282,7 +284,7 @@
         view = self.views.get(listing.address)
         if view is None or view.instance != listing.instance:
             return None
-        if incarnation.are_other_births(view.born_ms, listing.born_ms):
+        if incarnation.start_times_differ(view.born_ms, listing.born_ms):
             return None
         return view
 
@@ -347,7 +349,7 @@
         # the estimate of running requests is too rough to detect a full batch.
         queued += max(0, health.in_flight - slots)
         queueing_ms += QUEUED_COST_MS * queued
-        slow_ms = health.silent_ms(now_ms) - ENGINE_FIRST_BYTE_MS
+        slow_ms = health.first_byte_wait_ms(now_ms) - ENGINE_FIRST_BYTE_MS
         return queueing_ms + SLOW_FIRST_BYTE_WEIGHT * max(0, slow_ms)
 
     def cost_ms(self, member: roster_lib.Member, now_ms: int) -> float:
@@ -380,7 +382,7 @@
             slots = max(1, member.listing.slot_count)
             cost_ms = latency_ms * (1 + health.in_flight / slots)
             cost_ms += FAILURE_COST_MS * health.failure_share
-            slow_ms = health.silent_ms(now_ms) - PLAIN_FIRST_BYTE_MS
+            slow_ms = health.first_byte_wait_ms(now_ms) - PLAIN_FIRST_BYTE_MS
             cost_ms += SLOW_FIRST_BYTE_WEIGHT * max(0, slow_ms)
             cost_ms *= self._random.uniform(0.9, 1.1)
             if best is None or cost_ms < best_ms:
--- a/packages/radishstack/src/radishstack/target_admission.py
+++ b/packages/radishstack/src/radishstack/target_admission.py
@@ -108,7 +108,7 @@
     actions: state_lib.Actions,
 ) -> None:
     key = (attempt.service, attempt.key)
-    decision = target.ledger.judge(
+    decision = target.ledger.decide(
         key,
         digest=attempt.digest,
         accepted_at_ms=attempt.accepted_at_ms,
@@ -347,7 +347,7 @@
     if attempt is None:
         return
     key = (attempt.service, attempt.key)
-    if event.answer is ledger_lib.Sealing.SEALED:
+    if event.answer is ledger_lib.SealReply.SEALED:
         service = target.service(attempt.service)
         if service is not None:
             target.ledger.claim(
@@ -360,7 +360,7 @@
             )
             _admit_claimed(target, attempt, now_ms, actions)
             return
-    if event.answer is ledger_lib.Sealing.RAN:
+    if event.answer is ledger_lib.SealReply.RAN:
         failure = result.Failure(
             result.ANSWER_NOT_KEPT,
             "this key ran on a former home, which keeps the answer",
--- a/packages/radishstack/src/radishstack/target_event.py
+++ b/packages/radishstack/src/radishstack/target_event.py
@@ -33,7 +33,7 @@
     """
 
     attempt_id: bytes
-    answer: ledger_lib.Sealing
+    answer: ledger_lib.SealReply
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -214,7 +214,7 @@
     """Answer a seal request of a new home."""
 
     seal_id: int
-    answer: ledger_lib.Sealing
+    answer: ledger_lib.SealReply
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/proofs/usage.py
+++ b/proofs/usage.py
@@ -27,7 +27,7 @@
 MIN_DELAY_MS = 1
 MAX_DELAY_MS = 6
 # A send follows its booking within this time.
-MAX_SEND_DELAY_MS = usage_loan.BOOKING_MS
+MAX_SEND_DELAY_MS = usage_loan.RESERVATION_MS
 MS_PER_S = 1_000
 # For the rounding of sums of floats.
 EPSILON = 1.0
@@ -152,7 +152,7 @@
         """Starts the process again, with empty books."""
         self.run += 1
         self._inbox.clear()
-        self.books = usage_books.UsageBooks(
+        self.books = usage_books.UsageShares(
             self.world.rules,
             lambda: self.others,
             lambda: self.world.count,
@@ -200,7 +200,7 @@
 
     def _handle(self, message: usage_loan.Message, sender: str) -> None:
         now_ms = self.world.now_ms
-        if isinstance(message, usage_loan.Ask):
+        if isinstance(message, usage_loan.LoanRequest):
             loan = self.books.lend(message, self.world.cap, now_ms)
             self.world.send(self.name, sender, loan)
         else:
@@ -214,15 +214,18 @@
 
     def _admit(self, cost: float, until_ms: int, done: Done | None) -> None:
         now_ms, cap = self.world.now_ms, self.world.cap
-        if self.books.book(ACCOUNT, cap, cost, now_ms) is not None:
-            if self.books.wants_ahead(ACCOUNT, cap, now_ms):
+        if self.books.reserve(ACCOUNT, cap, cost, now_ms) is not None:
+            if self.books.borrow_ahead_amount(ACCOUNT, cap, now_ms):
                 self._ask(0.0)
             self._send_soon(cost)
             if done is not None:
                 done(True)
             return
         self._ask(self.books.missing(ACCOUNT, cap, cost, now_ms))
-        if self.books.is_shut(ACCOUNT, now_ms) or now_ms >= until_ms:
+        if (
+            self.books.is_borrowing_paused(ACCOUNT, now_ms)
+            or now_ms >= until_ms
+        ):
             if done is not None:
                 done(False)
             return
--- a/tests/fleet/test_cold_rush.py
+++ b/tests/fleet/test_cold_rush.py
@@ -222,7 +222,7 @@
         possible = ENGINES * adapter_keeper.MAX_IN_TRANSIT * RUSH_MS / LOAD_MS
         in_time = sum(wait_ms <= OBJECTIVE_MS for wait_ms in rush.waits_ms)
         assert in_time >= possible, (in_time, possible)
-        assert rush.timed_out == 0, rush.timeout_failure
+        assert rush.timed_out == 0, rush.timed_out
         # Requests are rejected at once, not after a useless wait.
         assert statistics.mean(rush.rejected_ms) <= STEP_MS
 
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -113,7 +113,7 @@
                 "i-restarted", engine=True, host=host
             )
             sidecar = fleet.sidecars[host]
-            sidecar.incarnations.named("i-engine0")
+            sidecar.incarnations.select("i-engine0")
             await fleet.until(
                 lambda: "i-restarted" in fleet.gateway.roster.members,
                 "the gateway lists the new start",
--- a/tests/fleet/test_foreign_entries.py
+++ b/tests/fleet/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the store that another writer made, or that cannot be read."""
+"""Store entries that are unreadable or were written by other software."""
 
 import json
 from typing import Any
@@ -27,7 +27,7 @@
 GOOD = platform_engine.PlatformEngine("i1", model="base7").listing(
     platform_site.ENGINES, "10.0.0.1:8080", "north"
 )
-# Of no field's type.
+# Values that are invalid for every field, or for most of them.
 WRONG_VALUES = (None, True, -1, 1.5, "", "no such", [7], {"a": 1}, "a\r\nb: c")
 
 
@@ -35,8 +35,8 @@
     return wire.target("i1", spec, 1, 1)
 
 
-def test_a_good_entry_names_a_target() -> None:
-    """Whatever else it holds: writers may be newer."""
+def test_a_valid_entry_is_decoded() -> None:
+    """Guards against rejecting unknown fields, which newer writers may add."""
     assert isinstance(_target(GOOD), roster_lib.Listing)
     assert isinstance(_target(GOOD | {"x": [1]}), roster_lib.Listing)
 
@@ -48,11 +48,11 @@
     | strategies.text(max_size=4)
     | strategies.lists(strategies.integers(), max_size=2),
 )
-def test_a_spoilt_entry_names_no_target(field: str, value: Any) -> None:
-    """Requests are sent to a target whose state is not known.
+def test_an_invalid_entry_is_rejected(field: str, value: Any) -> None:
+    """Guards against requests to a target whose state is unknown.
 
-    The state ``resting`` was taken for ready, and an address of null and a
-    service of 7 were listed, since fields were read without a look at them.
+    Fields were not validated: the state ``resting`` counted as ready, and an
+    address of null and a service of 7 were listed.
     """
     spec = GOOD | {field: value}
     listing = _target(spec)
@@ -77,8 +77,8 @@
         lambda name: {k: v for k, v in GOOD.items() if k != name}
     )
 )
-def test_an_entry_without_its_fields_names_no_target(spec: Any) -> None:
-    """A missing field was taken for an empty one."""
+def test_an_entry_without_a_required_field_is_rejected(spec: Any) -> None:
+    """Guards against treating a missing field as an empty one."""
     assert not isinstance(_target(spec), roster_lib.Listing)
 
 
@@ -87,7 +87,7 @@
     return {member.listing.instance for member in members}
 
 
-async def _has_read_all(fleet: fixtures.Fleet) -> None:
+async def _until_all_is_read(fleet: fixtures.Fleet) -> None:
     follower = fleet.gateway.knowledge.followers[TARGETS]
     await fleet.until(
         lambda: (
@@ -103,36 +103,36 @@
     return json.loads(json.dumps(spec))
 
 
-def test_a_target_whose_entry_is_spoilt_gets_no_more_work() -> None:
-    """An entry that turns unreadable leaves in force what it said before."""
+def test_a_target_whose_entry_becomes_invalid_gets_no_requests() -> None:
+    """Guards against using the previous state of an entry that is invalid."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
-            for spoilt in ({"state": "resting"}, {"address": None}):
+            for invalid in ({"state": "resting"}, {"address": None}):
                 spec = _plain_spec(fleet, "i-plain0")
-                fleet.store.put(TARGETS, "i-plain0", spec | spoilt)
-                await _has_read_all(fleet)
+                fleet.store.put(TARGETS, "i-plain0", spec | invalid)
+                await _until_all_is_read(fleet)
                 assert _usable(fleet) == {"i-plain1"}
                 fleet.store.put(TARGETS, "i-plain0", spec)
-                await _has_read_all(fleet)
+                await _until_all_is_read(fleet)
                 assert _usable(fleet) == {"i-plain0", "i-plain1"}
 
     fixtures.run(play)
 
 
-def test_an_unknown_service_takes_no_target_off_its_address() -> None:
-    """A target gets no more work because of an entry that nobody can use.
+def test_an_entry_of_an_unknown_service_does_not_replace_a_target() -> None:
+    """Guards against dropping a target because of an unusable entry.
 
-    Another writer enters a service that no configuration names, at the
-    address of a target. The target counted as gone, as its entry is older.
-    Once a configuration names the service, the entry is used.
+    Another writer adds an entry at the address of a target, for a service that
+    is not configured. The target counted as gone, because its entry is older.
+    The new entry is used once the service is configured.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
             spec = _plain_spec(fleet, "i-plain0")
             fleet.store.put(TARGETS, "i-other", spec | {"service": "later"})
-            await _has_read_all(fleet)
+            await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0"}
             assert "i-other" not in fleet.gateway.roster.members
             elsewhere = spec | {
@@ -140,7 +140,7 @@
                 "address": f"{fleet.host()}:{fixtures.TARGET_PORT}",
             }
             fleet.store.put(TARGETS, "i-other", elsewhere)
-            await _has_read_all(fleet)
+            await _until_all_is_read(fleet)
             body = fixtures.configuration(version=2)
             body["services"].append({"name": "later", "maxConnections": 8})
             fleet.store.put("config", "main", body)
@@ -152,11 +152,12 @@
     fixtures.run(play)
 
 
-def test_one_bad_object_does_not_hide_the_others() -> None:
-    """A gateway reads the list of targets again and again, in vain.
+def test_one_invalid_object_does_not_hide_the_others() -> None:
+    """Guards against a gateway that can never read the list of targets.
 
-    One object of many has no name, or holds bytes that are no text. The whole
-    answer counted as unreadable, or the reader broke off and began anew.
+    One object of many has no name or contains bytes that are not valid text.
+    The whole response counted as unreadable, or the reader failed and restarted
+    indefinitely.
     """
 
     async def play() -> None:
@@ -172,13 +173,13 @@
                 fleet.store.objects[kind]["c-none"]["spec"] = None
             other = f"{fleet.host()}:{fixtures.TARGET_PORT}"
             fleet.store.put(TARGETS, "i-plain9", spec | {"address": other})
-            # Read by a watch, then by a list.
-            await _has_read_all(fleet)
+            # Checks the watch, then the list.
+            await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0", "i-plain9"}
             for follower in gateway.knowledge.followers.values():
                 follower.restart()
             fleet.store.put(TARGETS, "i-plain9", spec | {"address": other})
-            await _has_read_all(fleet)
+            await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0", "i-plain9"}
             assert gateway.metrics.broken.get_all() == restarts
             answer = await fleet.call("/book/1")
@@ -187,14 +188,14 @@
     fixtures.run(play)
 
 
-def test_announced_versions_are_whole_numbers() -> None:
-    """A version that is none was announced, or stopped the reader."""
+def test_announced_versions_are_integers() -> None:
+    """Guards against invalid versions that are announced or stop the reader."""
     good = {"model": "base7", "adapter": "a1", "version": 2}
     assert wire.announced(good).version == 2
     for field in good:
         for value in (None, True, 1.5, [7], {"a": 1}, -1):
             if field == "adapter" and value is None:
                 continue
-            spoilt = wire.announced(good | {field: value})
-            assert not hasattr(spoilt, "version"), (field, value)
+            invalid = wire.announced(good | {field: value})
+            assert not hasattr(invalid, "version"), (field, value)
     assert not hasattr(wire.announced(None), "version")
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -223,11 +223,11 @@
 
 def test_an_ended_incarnation_is_never_accepted_again() -> None:
     """A gateway with stale data continues to name it for seconds."""
-    incarnations = incarnation.Incarnations()
-    assert incarnations.named("new") and incarnations.named("old")
+    incarnations = incarnation.IncarnationTracker()
+    assert incarnations.select("new") and incarnations.select("old")
     incarnations.refused()
-    assert not incarnations.named("old") and incarnations.current == ""
-    assert incarnations.named("new")
+    assert not incarnations.select("old") and incarnations.current == ""
+    assert incarnations.select("new")
 
 
 def test_shares_of_the_retry_budget_add_up_to_the_whole() -> None:
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -35,24 +35,24 @@
 def test_a_stall_is_tolerated_while_other_streams_progress() -> None:
     """Load pattern: an engine reads a prompt while other streams progress."""
     health = roster.Health()
-    health.progressed(20, NOW_MS - 100)
+    health.record_progress(20, NOW_MS - 100)
     assert _allowed_ms(health) == 960
 
 
 def test_the_usual_pauses_of_an_engine_are_tolerated() -> None:
     """The estimate follows the observed pauses and decays as they shorten."""
     health = roster.Health()
-    health.progressed(500, NOW_MS - 2_000)
+    health.record_progress(500, NOW_MS - 2_000)
     assert _allowed_ms(health) == 750
     for _ in range(100):
-        health.progressed(20, NOW_MS - 1_000)
+        health.record_progress(20, NOW_MS - 1_000)
     assert _allowed_ms(health) == 240
 
 
 def test_the_objective_bounds_the_wait_for_the_first_event() -> None:
     """Pauses of the engine's streams are ignored before the first event."""
     health = roster.Health()
-    health.progressed(500, NOW_MS)
+    health.record_progress(500, NOW_MS)
     assert _allowed_ms(health, begun=False) == 750
     short = dataclasses.replace(ROUTE, objective_ms=100)
     allowed_ms = silence.allowed_ms(short, health, begun=False, now_ms=NOW_MS)
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -1,4 +1,4 @@
-"""Usage caps: what one gateway sends, lends and borrows; what callers see."""
+"""Usage caps: sending, lending and borrowing of gateways, and rejections."""
 
 import random
 from typing import Any
@@ -22,27 +22,27 @@
 ACCOUNT = "crew"
 RULES = usage_books.Rules(8_000)
 CAP = usage_cap.UsageCap(100.0, 200.0, usage_cap.CostUnit.TOKEN, 10.0)
-WHOLE = RULES.bucket(CAP)
-# What one of four gateways may send at once.
-PART = WHOLE.depth / 4
+TOTAL = RULES.bucket(CAP)
+# Share of one of four gateways.
+SHARE = TOTAL.depth / 4
 STARTED_MS = 1_000_000
 NOW_MS = STARTED_MS + 60_000
 
 
-def _books(
+def _shares(
     count: int = 4,
     rules: usage_books.Rules = RULES,
     started_ms: int = STARTED_MS,
-) -> usage_books.UsageBooks:
+) -> usage_books.UsageShares:
     names = [f"gateway{number}" for number in range(1, count)]
-    return usage_books.UsageBooks(
+    return usage_books.UsageShares(
         rules, lambda: names, lambda: count, started_ms, random.Random(1)
     )
 
 
-def _spend_own_part(books: usage_books.UsageBooks) -> None:
-    assert books.book(ACCOUNT, CAP, PART, NOW_MS) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS) is None
+def _spend_share(shares: usage_books.UsageShares) -> None:
+    assert shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS) is None
 
 
 async def _cap(fleet: fixtures.Fleet, **fields: Any) -> None:
@@ -64,109 +64,111 @@
     ]
 
 
-def test_no_window_sums_to_more_than_is_told() -> None:
-    """Guards against a sum that begins anew at a boundary."""
+def test_a_sliding_sum_is_never_too_small() -> None:
+    """Guards against a sum that is reset at the boundary of a window."""
     source = random.Random(3)
-    told = sliding_sum.SlidingSum(1_000, 50)
+    window_sum = sliding_sum.SlidingSum(1_000, 50)
     costs: list[tuple[int, float]] = []
     for now_ms in range(5_000, 12_000, 7):
         cost = source.choice((0.0, 1.0, 30.0))
-        told.add(cost, now_ms)
+        window_sum.add(cost, now_ms)
         costs.append((now_ms, cost))
         real = sum(one for at, one in costs if at > now_ms - 1_000)
-        assert told.total(now_ms) >= real
-        later_ms = now_ms + told.wait_ms(real / 2, now_ms)
-        assert told.total(now_ms) <= real / 2 or later_ms > now_ms
+        assert window_sum.total(now_ms) >= real
+        later_ms = now_ms + window_sum.wait_ms(real / 2, now_ms)
+        assert window_sum.total(now_ms) <= real / 2 or later_ms > now_ms
 
 
-def test_what_is_told_of_a_quiet_sum_falls_to_nothing() -> None:
-    """Guards against a sum that refuses for ever, or leaks memory."""
-    told = sliding_sum.SlidingSum(1_000, 50)
+def test_a_sliding_sum_without_new_costs_drops_to_zero() -> None:
+    """Guards against a sum that never expires, and against a memory leak."""
+    window_sum = sliding_sum.SlidingSum(1_000, 50)
     for now_ms in range(0, 100_000, 10):
-        told.add(0.1, now_ms)
-        told.total(now_ms)
-    assert len(told._starts_ms) <= 22
-    assert told.total(200_000) == 0.0
+        window_sum.add(0.1, now_ms)
+        window_sum.total(now_ms)
+    assert len(window_sum._starts_ms) <= 22
+    assert window_sum.total(200_000) == 0.0
 
 
-def test_a_gateway_keeps_to_its_part_unless_others_lend() -> None:
+def test_a_gateway_stays_within_its_share_and_its_loans() -> None:
     """Guards against gateways that each admit the whole cap."""
-    books = _books()
-    _spend_own_part(books)
-    (lender, ask), _ = books.ask(ACCOUNT, 10.0, NOW_MS)
+    shares = _shares()
+    _spend_share(shares)
+    (lender, ask), _ = shares.ask(ACCOUNT, 10.0, NOW_MS)
     assert lender.startswith("gateway")
-    other = _books()
+    other = _shares()
     loan = other.lend(ask, CAP, NOW_MS + 2)
     assert loan.amount >= 10.0
-    left = PART - loan.amount
-    books.on_loan(loan, NOW_MS + 4)
-    assert books.book(ACCOUNT, CAP, loan.amount, NOW_MS + 5) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS + 5) is None
-    # The lender has so much less.
-    assert other.book(ACCOUNT, CAP, left + 1.0, NOW_MS + 2) is None
-    assert other.book(ACCOUNT, CAP, left, NOW_MS + 2) is not None
-
-
-def test_a_loan_ends_by_the_clock_of_its_ask() -> None:
-    """Guards against a loan that is spent after its lender has forgotten it."""
-    books = _books()
-    _spend_own_part(books)
-    (_, ask), _ = books.ask(ACCOUNT, 50.0, NOW_MS)
+    left = SHARE - loan.amount
+    shares.on_loan(loan, NOW_MS + 4)
+    assert shares.reserve(ACCOUNT, CAP, loan.amount, NOW_MS + 5) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS + 5) is None
+    # The lender's share is reduced by the loan.
+    assert other.reserve(ACCOUNT, CAP, left + 1.0, NOW_MS + 2) is None
+    assert other.reserve(ACCOUNT, CAP, left, NOW_MS + 2) is not None
+
+
+def test_the_term_of_a_loan_begins_with_its_request() -> None:
+    """Guards against a loan that is used after the lender counts it no more."""
+    shares = _shares()
+    _spend_share(shares)
+    (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
     loan = usage_loan.Loan(ACCOUNT, ask.number, 50.0, 0.0)
-    late_ms = NOW_MS + usage_loan.USABLE_MS
-    books.on_loan(loan, late_ms)
-    assert books.book(ACCOUNT, CAP, 50.0, late_ms) is None
+    late_ms = NOW_MS + usage_loan.LOAN_USABLE_MS
+    shares.on_loan(loan, late_ms)
+    assert shares.reserve(ACCOUNT, CAP, 50.0, late_ms) is None
 
 
 def test_a_loan_counts_once() -> None:
-    """Guards against a datagram that comes twice, or unasked."""
-    books = _books()
-    _spend_own_part(books)
-    (_, ask), _ = books.ask(ACCOUNT, 50.0, NOW_MS)
+    """Guards against a datagram that arrives twice or without a request."""
+    shares = _shares()
+    _spend_share(shares)
+    (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
     loan = usage_loan.Loan(ACCOUNT, ask.number, 50.0, 0.0)
     for _ in range(2):
-        books.on_loan(loan, NOW_MS + 3)
-    books.on_loan(usage_loan.Loan(ACCOUNT, 7, 50.0, 0.0), NOW_MS + 3)
-    assert books.book(ACCOUNT, CAP, 50.0, NOW_MS + 4) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS + 4) is None
-
-
-def test_a_request_that_did_not_run_is_given_back_once() -> None:
-    """Guards against a cap that shrinks with refusals of targets."""
-    books = _books()
-    booking = books.book(ACCOUNT, CAP, PART, NOW_MS)
+        shares.on_loan(loan, NOW_MS + 3)
+    shares.on_loan(usage_loan.Loan(ACCOUNT, 7, 50.0, 0.0), NOW_MS + 3)
+    assert shares.reserve(ACCOUNT, CAP, 50.0, NOW_MS + 4) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS + 4) is None
+
+
+def test_the_reservation_of_a_request_that_did_not_run_is_released_once() -> (
+    None
+):
+    """Guards against a cap that shrinks when targets reject requests."""
+    shares = _shares()
+    booking = shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS)
     for _ in range(2):
-        books.give_back(booking)
-    _spend_own_part(books)
+        shares.release(booking)
+    _spend_share(shares)
 
 
 def test_a_started_process_begins_with_an_empty_bucket() -> None:
     """Guards against a restart that doubles an account's use."""
-    books = _books(started_ms=NOW_MS)
-    assert books.book(ACCOUNT, CAP, 1.0, NOW_MS) is None
-    gained = WHOLE.per_ms / 4 * 400
-    assert gained < PART
-    assert books.book(ACCOUNT, CAP, gained + 1.0, NOW_MS + 400) is None
-    assert books.book(ACCOUNT, CAP, gained, NOW_MS + 400) is not None
-
-
-def test_what_is_forgotten_was_full() -> None:
-    """Guards against books that are dropped and opened again with more."""
-    books = _books(started_ms=NOW_MS - 60_000)
-    _spend_own_part(books)
-    books.forget(NOW_MS + 100)
-    assert books.book(ACCOUNT, CAP, PART, NOW_MS + 100) is None
-    # A deep bucket takes longer to fill than a window.
-    deep = _books(rules=usage_books.Rules(8_000, 0.0, 10_000.0), started_ms=0)
+    shares = _shares(started_ms=NOW_MS)
+    assert shares.reserve(ACCOUNT, CAP, 1.0, NOW_MS) is None
+    gained = TOTAL.per_ms / 4 * 400
+    assert gained < SHARE
+    assert shares.reserve(ACCOUNT, CAP, gained + 1.0, NOW_MS + 400) is None
+    assert shares.reserve(ACCOUNT, CAP, gained, NOW_MS + 400) is not None
+
+
+def test_only_accounts_with_full_buckets_are_dropped() -> None:
+    """Guards against accounts that gain capacity when they are dropped."""
+    shares = _shares(started_ms=NOW_MS - 60_000)
+    _spend_share(shares)
+    shares.forget(NOW_MS + 100)
+    assert shares.reserve(ACCOUNT, CAP, SHARE, NOW_MS + 100) is None
+    # A deep bucket takes longer than a window to refill.
+    deep = _shares(rules=usage_books.Rules(8_000, 0.0, 10_000.0), started_ms=0)
     depth = usage_books.Rules(8_000, 0.0, 10_000.0).bucket(CAP).depth / 4
-    assert deep.book(ACCOUNT, CAP, depth, NOW_MS) is not None
+    assert deep.reserve(ACCOUNT, CAP, depth, NOW_MS) is not None
     deep.forget(NOW_MS + 20_000)
-    assert deep.book(ACCOUNT, CAP, depth, NOW_MS + 20_000) is None
+    assert deep.reserve(ACCOUNT, CAP, depth, NOW_MS + 20_000) is None
     later_ms = NOW_MS + 20_000
-    books.forget(later_ms)
-    assert not books.report(later_ms)
-    assert books.book(ACCOUNT, CAP, PART, later_ms) is not None
-    assert books.book(ACCOUNT, CAP, 1.0, later_ms) is None
+    shares.forget(later_ms)
+    assert not shares.report(later_ms)
+    assert shares.reserve(ACCOUNT, CAP, SHARE, later_ms) is not None
+    assert shares.reserve(ACCOUNT, CAP, 1.0, later_ms) is None
 
 
 def test_no_window_holds_more_than_a_bucket_and_its_loans() -> None:
@@ -184,43 +186,43 @@
 
 
 def test_a_large_request_gathers_loans() -> None:
-    """Guards against a large request that no single part ever pays for."""
-    names = {f"gateway{number}": _books() for number in range(1, 4)}
-    books = _books()
-    cost, now_ms = 2.5 * PART, NOW_MS
+    """Guards against never serving a request that exceeds each share."""
+    names = {f"gateway{number}": _shares() for number in range(1, 4)}
+    shares = _shares()
+    cost, now_ms = 2.5 * SHARE, NOW_MS
     for _ in range(3):
-        missing = books.missing(ACCOUNT, CAP, cost, now_ms)
-        for lender, ask in books.ask(ACCOUNT, missing, now_ms):
+        missing = shares.missing(ACCOUNT, CAP, cost, now_ms)
+        for lender, ask in shares.ask(ACCOUNT, missing, now_ms):
             loan = names[lender].lend(ask, CAP, now_ms + 1)
-            books.on_loan(loan, now_ms + 2)
+            shares.on_loan(loan, now_ms + 2)
         now_ms += 3
-    assert books.book(ACCOUNT, CAP, cost, now_ms) is not None
+    assert shares.reserve(ACCOUNT, CAP, cost, now_ms) is not None
 
 
-def test_at_the_cap_others_are_asked_seldom() -> None:
-    """Guards against a rush that becomes a storm of datagrams."""
-    books = _books(count=40)
-    _spend_own_part_of(books, WHOLE.depth / 40)
+def test_few_loan_requests_are_sent_at_the_cap() -> None:
+    """Guards against an overload that causes very many datagrams."""
+    shares = _shares(count=40)
+    _spend(shares, TOTAL.depth / 40)
     asked = 0
     for now_ms in range(NOW_MS, NOW_MS + 1_000, 5):
-        for _, ask in books.ask(ACCOUNT, 5.0, now_ms):
+        for _, ask in shares.ask(ACCOUNT, 5.0, now_ms):
             asked += 1
             loan = usage_loan.Loan(ACCOUNT, ask.number, 0.0, 0.0)
-            books.on_loan(loan, now_ms)
-    assert asked <= 5 * usage_books.MAX_ASKED_IN_VAIN, asked
+            shares.on_loan(loan, now_ms)
+    assert asked <= 5 * usage_books.MAX_FAILED_LOAN_REQUESTS, asked
 
 
-def _spend_own_part_of(books: usage_books.UsageBooks, part: float) -> None:
-    assert books.book(ACCOUNT, CAP, part, NOW_MS) is not None
+def _spend(shares: usage_books.UsageShares, cost: float) -> None:
+    assert shares.reserve(ACCOUNT, CAP, cost, NOW_MS) is not None
 
 
-def test_the_overshoot_stays_within_what_is_allowed() -> None:
-    """Guards against a cap that is lent twice, in touch or cut off."""
+def test_the_overshoot_stays_within_the_allowed_one() -> None:
+    """Guards against lending a share twice, with and without faults."""
     for scenario in bench.SCENARIOS:
         figures = bench.play("borrowing", scenario, 21, seed=11)
         assert figures["worst_window"] <= figures["allowed"], scenario.name
         if scenario.load > 1:
-            # Beyond the cap it depends on the order which requests are owed.
+            # Above the cap, the admitted requests depend on their order.
             continue
         is_hurt = scenario.cut_count or scenario.one_dies
         aim = 0.05 if is_hurt or scenario.restarts_all else 0.01
@@ -228,7 +230,7 @@
 
 
 def test_an_account_beyond_its_cap_is_served_steadily() -> None:
-    """Guards against a rush that shuts its account out for seconds."""
+    """Guards against an overload that blocks its account for seconds."""
     scenario = bench.SCENARIOS[3]
     world = usage.World(bench.RULES, bench.CAP, 21, random.Random(7))
     names = list(world.gateways)
@@ -249,16 +251,16 @@
         assert sent >= 0.8 * bench.CAP.rate_per_s, second
 
 
-def test_an_account_far_below_its_cap_costs_next_to_nothing() -> None:
-    """Guards against a cost of caps that grows with accounts."""
+def test_an_account_far_below_its_cap_causes_few_messages() -> None:
+    """Guards against traffic that grows with the number of accounts."""
     (usual, *_) = bench.SCENARIOS
     assert bench.play("borrowing", usual, 21, seed=5)["bytes_per_s"] < 50
 
 
-def test_messages_survive_their_wire() -> None:
-    """Guards against amounts that are no amounts."""
+def test_messages_are_decoded_as_they_were_encoded() -> None:
+    """Guards against lossy encoding and against invalid amounts."""
     for message in (
-        usage_loan.Ask(ACCOUNT, 2**31, 9_190.0, 12_000.5),
+        usage_loan.LoanRequest(ACCOUNT, 2**31, 9_190.0, 12_000.5),
         usage_loan.Loan(ACCOUNT, 2**31, 0.0, 17.25),
     ):
         assert fleet_wire.decode(fleet_wire.encode(message)) == message
@@ -267,8 +269,8 @@
         assert isinstance(fleet_wire.decode(bad), result.Failure)
 
 
-def test_a_cap_holds_over_two_gateways_and_says_when_to_return() -> None:
-    """Guards against a cap of each gateway, and a 429 that says nothing."""
+def test_a_cap_holds_over_two_gateways_and_sets_retry_after() -> None:
+    """Guards against one cap per gateway, and a 429 without Retry-After."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=1) as fleet:
@@ -283,7 +285,7 @@
                     ),
                     "gateways know each other",
                 )
-            # Books of processes that have run for a window already.
+            # Simulates processes that have been running for a window.
             for gateway in gateways:
                 gateway.usage_caps._books._started_ms -= 120_000
             await _cap(fleet, ratePerS=0.01, burst=40)
@@ -291,7 +293,7 @@
                 lambda: all(one.table.version == 2 for one in gateways),
                 "the cap is in force at both",
             )
-            # All come to one gateway, which borrows what the others have.
+            # Most requests arrive at one gateway, which borrows from the other.
             answers = await _calls(fleet, 20, first)
             answers += await _calls(fleet, 10, second)
             served = [one for one in answers if one.status == 200]
@@ -309,13 +311,13 @@
     fixtures.run(play)
 
 
-def test_what_a_target_refuses_costs_nothing() -> None:
-    """Guards against requests that count though no target ran them."""
+def test_requests_that_a_target_rejects_do_not_count() -> None:
+    """Guards against charging requests that no target ran."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
-            books = fleet.gateway.usage_caps._books
-            books._started_ms -= 60_000
+            shares = fleet.gateway.usage_caps._books
+            shares._started_ms -= 60_000
             await _cap(fleet, ratePerS=1_000.0, burst=100)
             (target,) = fleet.targets.values()
             target.fault = lambda seen: platform_engine.Fault.SHED
@@ -330,8 +332,8 @@
     fixtures.run(play)
 
 
-def test_the_proof_meets_accounts_at_their_cap() -> None:
-    """Guards against a world in which no cap ever binds."""
+def test_the_proof_reaches_the_cap() -> None:
+    """Guards against a simulation in which the cap never takes effect."""
     before = usage.COUNTS["judged at the cap"]
     world = usage.World(
         usage.UsageMachine.RULES, usage.UsageMachine.CAP, 5, random.Random(1)
