--- a/bench/control.py
+++ b/bench/control.py
@@ -165,7 +165,7 @@
     """Bytes, CPU, memory and store calls over a while."""
 
     def __init__(
-        self, control: control_lib.Control, metrics: metrics_lib.Metrics
+        self, control: control_lib.ControlSocket, metrics: metrics_lib.Metrics
     ) -> None:
         """Starts measuring now."""
         self.control = control
@@ -218,7 +218,7 @@
     settings = _settings("entry")
     source = random.Random(3)
     async with anyio.create_task_group() as tasks:
-        control = await control_lib.open_control(
+        control = await control_lib.open_control_socket(
             settings.entry.control, metrics
         )
         entry = entry_lib.Entry(
@@ -232,7 +232,7 @@
         document = make_document(peers, adapters)
         configuration.offer(holder_lib.Held(1, "w1", document))
         tasks.start_soon(control.run)
-        tasks.start_soon(entry.spread.run)
+        tasks.start_soon(entry.configuration_gossip.run)
         tasks.start_soon(entry.forget)
         tasks.start_soon(entry.watch_vms)
         tasks.start_soon(_change, configuration)
@@ -271,7 +271,7 @@
         process.configuration.offer(holder_lib.Held(1, "w1", document))
         tasks.start_soon(_change, process.configuration)
         await anyio.sleep(1.0)
-        meter = Meter(process.spread.control, process.metrics)
+        meter = Meter(process.configuration_gossip.control, process.metrics)
         await anyio.sleep(seconds)
         print(json.dumps(meter.read()), flush=True)
         tasks.cancel_scope.cancel()
--- a/packages/radishd/src/radishd/cli.py
+++ b/packages/radishd/src/radishd/cli.py
@@ -72,7 +72,7 @@
         path: Where they were read, and are read again on SIGHUP.
     """
     stop = anyio.Event()
-    reloads = signals.Reloads()
+    reloads = signals.ReloadHook()
     module = importlib.import_module(_ROLES[settings.role])
 
     async def drive() -> None:
--- a/packages/radishd/src/radishd/entry.py
+++ b/packages/radishd/src/radishd/entry.py
@@ -21,11 +21,11 @@
 from radishd.process import admin
 from radishd.process import clock
 from radishd.process import configuration as configuration_lib
+from radishd.process import configuration_gossip as configuration_gossip_lib
 from radishd.process import control as control_lib
 from radishd.process import logs
 from radishd.process import metrics as metrics_lib
 from radishd.process import settings as settings_lib
-from radishd.process import spread as spread_lib
 from radishd.process import store as store_lib
 from radishd.process import web
 from radishd.request import caller as caller_lib
@@ -48,7 +48,7 @@
         tasks: anyio.abc.TaskGroup,
         *,
         metrics: metrics_lib.Metrics,
-        control: control_lib.Control,
+        control: control_lib.ControlSocket,
         random_source: random.Random,
     ) -> None:
         """Builds the daemon; nothing listens yet.
@@ -81,14 +81,16 @@
         self.refusing = False
         self.last_failures: dict[int, int] = {}
         self.configuration.listen(self._version_raised)
-        self.spread = spread_lib.Spread(
-            settings,
-            self.own.control,
-            control,
-            self.configuration,
-            random_source,
+        self.configuration_gossip = (
+            configuration_gossip_lib.ConfigurationGossip(
+                settings,
+                self.own.control,
+                control,
+                self.configuration,
+                random_source,
+            )
         )
-        self.spread.on_leaving = self._leaving_heard
+        self.configuration_gossip.on_leaving = self._leaving_heard
 
     def _leaving_heard(self, names: frozenset[str]) -> None:
         self.heard_leaving = names
@@ -302,7 +304,9 @@
             self.router.listed_leaving = (
                 self.listed_leaving | self.heard_leaving
             )
-            self.spread.tell_leaving(tuple(sorted(self.listed_leaving)))
+            self.configuration_gossip.announce_leaving(
+                tuple(sorted(self.listed_leaving))
+            )
 
     def ready(self) -> str:
         """Returns why the daemon is not ready, empty if it is."""
@@ -389,7 +393,7 @@
     own = settings.entry
     metrics = metrics_lib.Metrics(name=settings.name)
     async with anyio.create_task_group() as tasks:
-        control = await control_lib.open_control(own.control, metrics)
+        control = await control_lib.open_control_socket(own.control, metrics)
         entry = Entry(
             settings,
             tasks,
@@ -407,7 +411,7 @@
         tasks.start_soon(
             transfer.seed, entry.configuration, entry.links, settings.seeds
         )
-        tasks.start_soon(entry.spread.run)
+        tasks.start_soon(entry.configuration_gossip.run)
         tasks.start_soon(entry.forget)
         tasks.start_soon(entry.watch_vms)
         admin_app = admin.make_app(
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -36,9 +36,9 @@
 from radishd.process import clock
 from radishd.process import crash_gossip as crash_gossip_lib
 from radishd.process import decision_log
+from radishd.process import discovery as discovery_lib
 from radishd.process import fleet_socket
 from radishd.process import kept_crashes as kept_crashes_lib
-from radishd.process import knowledge as knowledge_lib
 from radishd.process import metrics as metrics_lib
 from radishd.process import notifier as notifier_lib
 from radishd.process import pause_detector
@@ -179,10 +179,10 @@
         )
         self.kept_crashes = kept_crashes_lib.KeptCrashes(
             self.store,
-            functools.partial(self.crash_gossip.take, source="store"),
+            functools.partial(self.crash_gossip.merge, source="store"),
             log,
         )
-        self.knowledge = knowledge_lib.Knowledge(
+        self.discovery = discovery_lib.Discovery(
             self.store,
             self.peers,
             self.roster,
@@ -195,7 +195,7 @@
             on_listed=self._start_known,
             on_change=self.notifier.notify_all,
             on_limits=self._take_limits,
-            on_store_back=self.crash_gossip.ask_soon,
+            on_store_back=self.crash_gossip.request_reports_soon,
             on_store_restored=self._rewrite_crash_records,
         )
 
@@ -209,7 +209,7 @@
         # Connections to a start before it lead nowhere; a request that must
         # not run twice would be lost on one.
         self.pool.drop(member.listing.address)
-        self.load_requests.introduce(member)
+        self.load_requests.notify_new_incarnation(member)
 
     def _target_crashed(self, crash: crash_lib.Crash) -> None:
         """Handles a crash of a target that was seen here."""
@@ -319,7 +319,7 @@
             # The sender may have started after the last update of the peers.
             _, port = settings_lib.split_address(self.own.peers)
             self.peers.heard((f"{sender[0]}:{port}",))
-            self.crash_gossip.hear(datagram, sender)
+            self.crash_gossip.handle_report(datagram, sender)
         elif isinstance(datagram, fleet_wire.RateLimitReport):
             self.rate_limits.handle(datagram, sender)
         elif isinstance(datagram, fleet_wire.State):
@@ -361,8 +361,8 @@
         self.store.drop_connections()
         self.placement.views.clear()
         self.roster.forget_evidence()
-        self.crash_gossip.ask_soon()
-        for follower in self.knowledge.followers.values():
+        self.crash_gossip.request_reports_soon()
+        for follower in self.discovery.followers.values():
             follower.restart()
 
     def reload(self, settings: settings_lib.Settings) -> None:
@@ -393,7 +393,7 @@
             "ready": self.ready() or "yes",
             "config_version": self.table.version,
             "changes": [
-                dataclasses.asdict(one) for one in self.knowledge.changes
+                dataclasses.asdict(one) for one in self.discovery.changes
             ],
             "peers": sorted(self.peers.addresses),
             "in_flight": self.in_flight,
@@ -426,7 +426,7 @@
     settings: settings_lib.Settings,
     *,
     stop: anyio.Event,
-    reloads: signals.Reloads,
+    reloads: signals.ReloadHook,
     task_status: anyio.abc.TaskStatus[Gateway] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Runs a gateway until it is told to stop, then drains it.
@@ -451,27 +451,27 @@
         jobs = {
             "receive": gateway.socket.run,
             "send_demands": gateway.sidecars.send_demands,
-            "tell_hurried": gateway.load_requests.tell_hurried,
+            "tell_hurried": gateway.load_requests.send_urgent,
             "sweep": gateway.sweep,
             "crash_watch": gateway.crash_watch.run,
-            "tell_crashes": gateway.crash_gossip.tell_others,
+            "tell_crashes": gateway.crash_gossip.send_reports,
             "keep_crashes": gateway.kept_crashes.run,
-            "pass_on_crashes": gateway.crash_gossip.pass_on,
-            "ask_for_crashes": gateway.crash_gossip.ask_at_start,
-            "ask_peers": gateway.knowledge.ask_peers,
+            "pass_on_crashes": gateway.crash_gossip.gossip_recurring,
+            "ask_for_crashes": gateway.crash_gossip.request_reports_at_start,
+            "ask_peers": gateway.discovery.ask_peers,
             "usage_caps": gateway.usage_caps.run,
             "report_rate_limits": gateway.rate_limits.run,
             "pause_detector": functools.partial(
                 pause_detector.watch, gateway.on_process_pause
             ),
         }
-        for kind, follower in gateway.knowledge.followers.items():
+        for kind, follower in gateway.discovery.followers.items():
             jobs[f"follow_{kind}"] = follower.run
         for name, job in jobs.items():
-            tasks.start_soon(supervise.forever, name, job, metrics)
+            tasks.start_soon(supervise.run_forever, name, job, metrics)
         for app, address in (
             (_admin_app(gateway), own.admin),
-            (peers_lib.make_app(gateway.knowledge.tell), own.peers),
+            (peers_lib.make_app(gateway.discovery.export_objects), own.peers),
             (_readiness_app(gateway), own.readiness),
         ):
             server = web.make_server(app, *settings_lib.split_address(address))
--- a/packages/radishd/src/radishd/platform/wire.py
+++ b/packages/radishd/src/radishd/platform/wire.py
@@ -41,19 +41,19 @@
 _Text = Annotated[str, pydantic.Field(min_length=1, pattern=r"^[!-~]+$")]
 _Count = Annotated[int, pydantic.Field(ge=0)]
 _Time = Annotated[float, pydantic.Field(ge=0)]
-_Birth = checked.Birth
+_Birth = checked.StartTimeMs
 _Address = Annotated[
     str, pydantic.Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 ]
 
 
-class _Model(checked.Checked):
+class _Model(checked.StrictModel):
     name: _Text
     version: _Count = 0
     adapters: list[_Text] = []
 
 
-class _Target(checked.Checked):
+class _Target(checked.StrictModel):
     service: _Text
     address: _Address
     zone: _Text
@@ -69,7 +69,7 @@
     models: list[_Model] = []
 
 
-class _Account(checked.Checked):
+class _Account(checked.StrictModel):
     name: _Text
     keyDigests: list[Annotated[str, pydantic.Field(pattern=r"^[0-9a-f]{64}$")]]  # noqa: N815
     priority: _Count | None = None
@@ -85,7 +85,7 @@
 _BIRTH = pydantic.TypeAdapter(_Birth)
 
 
-class _Version(checked.Checked):
+class _Version(checked.StrictModel):
     model: _Text
     adapter: Annotated[str, pydantic.Field(pattern=r"^[!-~]*$")] = ""
     version: _Count
@@ -212,7 +212,7 @@
         try:
             entry = _Account.model_validate(raw)
         except ValueError as error:
-            problems.append(checked.unreadable("account", error).message)
+            problems.append(checked.invalid_object("account", error).message)
             continue
         digests = [bytes.fromhex(one) for one in entry.keyDigests]
         distinct_count = len(set(digests))
@@ -291,7 +291,7 @@
         entry = _Target.model_validate(spec)
         residents = _residents(spec.get("models") or ())
     except (TypeError, ValueError, AttributeError) as error:
-        return checked.unreadable(f"target {name}", error)
+        return checked.invalid_object(f"target {name}", error)
     return roster.Listing(
         instance=name,
         service=entry.service,
@@ -332,7 +332,7 @@
     try:
         entry = _Version.model_validate(spec)
     except ValueError as error:
-        return checked.unreadable("version", error)
+        return checked.invalid_object("version", error)
     name = f"{entry.model}/{entry.adapter}" if entry.adapter else entry.model
     return adapter_keeper.Want(name, entry.version)
 
--- a/packages/radishd/src/radishd/process/admin.py
+++ b/packages/radishd/src/radishd/process/admin.py
@@ -39,11 +39,14 @@
             return
         match scope["path"]:
             case "/healthz":
-                code, kind, body = 200, b"text/plain", b"ok\n"
+                code, content_type, body = 200, b"text/plain", b"ok\n"
             case "/readyz":
                 reason = ready()
                 code = 503 if reason else 200
-                kind, body = b"text/plain", f"{reason or 'ok'}\n".encode()
+                content_type, body = (
+                    b"text/plain",
+                    f"{reason or 'ok'}\n".encode(),
+                )
             case "/metrics":
                 refresh()
                 accepts = [
@@ -52,14 +55,14 @@
                     if name == b"accept"
                 ]
                 body, headers = aioprometheus.render(metrics.registry, accepts)
-                code, kind = 200, headers["Content-Type"].encode()
+                code, content_type = 200, headers["Content-Type"].encode()
             case "/status":
-                code, kind = 200, JSON_TYPE
+                code, content_type = 200, JSON_TYPE
                 body = json.dumps(status()).encode()
             case _:
-                code, kind, body = 404, b"text/plain", b"no such path\n"
+                code, content_type, body = 404, b"text/plain", b"no such path\n"
         headers = [
-            (b"content-type", kind),
+            (b"content-type", content_type),
             (b"content-length", str(len(body)).encode()),
         ]
         await send(
--- a/packages/radishd/src/radishd/process/checked.py
+++ b/packages/radishd/src/radishd/process/checked.py
@@ -6,10 +6,10 @@
 from radishstack import result
 
 # Clocks may be wrong, but a birth has to fit where it is passed on.
-Birth = Annotated[int, pydantic.Field(ge=0, lt=2**63)]
+StartTimeMs = Annotated[int, pydantic.Field(ge=0, lt=2**63)]
 
 
-class Checked(pydantic.BaseModel):
+class StrictModel(pydantic.BaseModel):
     """An object that anybody may have written: each field is checked.
 
     Sent to what such an entry names, requests would go where nobody answers
@@ -21,7 +21,7 @@
     )
 
 
-def unreadable(what: str, error: Exception) -> result.Failure:
+def invalid_object(what: str, error: Exception) -> result.Failure:
     """Returns why an object cannot be used, without its content.
 
     Args:
--- a/packages/radishd/src/radishd/process/configuration.py
+++ b/packages/radishd/src/radishd/process/configuration.py
@@ -17,7 +17,7 @@
 
 RETRY_FIRST_MS = 100
 RETRY_MAX_MS = 5_000
-UNWATCHED_READ_MS = 60_000
+UNWATCHED_POLL_MS = 60_000
 MS_PER_S = 1000.0
 
 Listener = Callable[[holder_lib.Held], None]
@@ -30,8 +30,8 @@
         """Holds nothing yet."""
         self.holder = holder_lib.Holder()
         self._listeners: list[Listener] = []
-        self._raised = anyio.Event()
-        self._nudge = anyio.Event()
+        self._version_changed = anyio.Event()
+        self._read_requested = anyio.Event()
         self.on_commit: Callable[[commit_lib.Commit], None] | None = None
 
     @property
@@ -49,8 +49,8 @@
             return
         for listener in self._listeners:
             listener(self.held)
-        self._raised.set()
-        self._raised = anyio.Event()
+        self._version_changed.set()
+        self._version_changed = anyio.Event()
         logs.info("config_in_force", config_version=held.version)
 
     def advance(self, commit: commit_lib.Commit) -> bool:
@@ -73,15 +73,15 @@
             self.on_commit(commit)
         return True
 
-    def nudge(self) -> None:
+    def request_read(self) -> None:
         """Makes a follower that does not watch read the store now."""
-        self._nudge.set()
+        self._read_requested.set()
 
-    async def wait_nudge(self, timeout_ms: float) -> None:
+    async def wait_for_read_request(self, timeout_ms: float) -> None:
         """Waits for a nudge, or for the time."""
         with anyio.move_on_after(timeout_ms / MS_PER_S):
-            await self._nudge.wait()
-        self._nudge = anyio.Event()
+            await self._read_requested.wait()
+        self._read_requested = anyio.Event()
 
     async def wait_for(self, version: int, timeout_ms: int) -> bool:
         """Waits until a version is in force here.
@@ -95,7 +95,7 @@
         """
         with anyio.move_on_after(timeout_ms / MS_PER_S):
             while self.held.version < version:
-                await self._raised.wait()
+                await self._version_changed.wait()
         return self.held.version >= version
 
 
@@ -117,22 +117,22 @@
     revision: int | None = None
     failures = 0
     while True:
-        failure = await _follow_once(configuration, store, revision)
-        if isinstance(failure, result.Failure):
+        outcome = await _follow_once(configuration, store, revision)
+        if isinstance(outcome, result.Failure):
             failures += 1
             revision = None
             if failures == 1:
-                logs.warn("config_unavailable", reason=failure.message)
+                logs.warn("config_unavailable", reason=outcome.message)
             base_ms = min(RETRY_FIRST_MS * 2**failures, RETRY_MAX_MS)
             pause_ms = base_ms * random_source.uniform(0.5, 1.5)
             await anyio.sleep(pause_ms / MS_PER_S)
             continue
         failures = 0
-        revision = failure
+        revision = outcome
         if configuration.held.version and not watches():
             revision = None
-            pause_ms = UNWATCHED_READ_MS * random_source.uniform(0.5, 1.5)
-            await configuration.wait_nudge(pause_ms)
+            pause_ms = UNWATCHED_POLL_MS * random_source.uniform(0.5, 1.5)
+            await configuration.wait_for_read_request(pause_ms)
 
 
 async def _follow_once(
--- a/packages/radishd/src/radishd/process/spread.py
+++ b/packages/radishd/src/radishd/process/configuration_gossip.py
@@ -19,19 +19,19 @@
 from radishd.process import settings as settings_lib
 
 MS_PER_S = 1000.0
-ROUND_MS = 1_000
+ROUND_INTERVAL_MS = 1_000
 WATCHERS_PER_DOMAIN = 2
-MAX_HEARD = 512
+MAX_KNOWN_SENDERS = 512
 
 
-class Spread:
+class ConfigurationGossip:
     """The dissemination of one process on its control socket."""
 
     def __init__(
         self,
         settings: settings_lib.Settings,
         address: str,
-        control: control_lib.Control,
+        control: control_lib.ControlSocket,
         configuration: configuration_lib.Configuration,
         random_source: random.Random,
     ) -> None:
@@ -52,15 +52,15 @@
             settings_lib.split_address(address), random_source=random_source
         )
         self.on_leaving: Callable[[frozenset[str]], None] | None = None
-        self._heard: dict[control_lib.Address, None] = {}
+        self._known_senders: dict[control_lib.Address, None] = {}
         self._targets: tuple[control_lib.Address, ...] = ()
         self._outbox: list[dissemination_lib.Action] = []
         self._wake = anyio.Event()
-        control.on_change = self.hear
-        configuration.listen(self._version_raised)
-        configuration.on_commit = self._commit_raised
+        control.on_change = self.handle_datagram
+        configuration.listen(self._on_new_version)
+        configuration.on_commit = self._on_commit
 
-    def _version_raised(self, held: holder_lib.Held) -> None:
+    def _on_new_version(self, held: holder_lib.Held) -> None:
         targets = held.document.targets.values()
         self._targets = tuple(
             settings_lib.split_address(target.address) for target in targets
@@ -68,9 +68,9 @@
         self._set_peers()
 
     def _set_peers(self) -> None:
-        self.machine.peers = (*self._targets, *self._heard)
+        self.machine.peers = (*self._targets, *self._known_senders)
 
-    def _commit_raised(self, commit: commit_lib.Commit) -> None:
+    def _on_commit(self, commit: commit_lib.Commit) -> None:
         data = commit_lib.encode_commit(commit)
         self._feed(dissemination_lib.Raised(commit.version, data))
 
@@ -84,12 +84,12 @@
         self._outbox.extend(self.machine.handle(event, clock.now_ms()))
         self._wake.set()
 
-    def tell_leaving(self, names: tuple[str, ...]) -> None:
+    def announce_leaving(self, names: tuple[str, ...]) -> None:
         """Passes on who leaves."""
         if names:
             self._feed(dissemination_lib.LeavingHeard(names))
 
-    async def hear(
+    async def handle_datagram(
         self,
         body: frame.Digest | frame.PushedCommit,
         sender: control_lib.Address,
@@ -98,10 +98,13 @@
         if isinstance(body, frame.PushedCommit):
             commit = commit_lib.decode_commit(body.data)
             if not isinstance(commit, result.Failure):
-                self._take_commit(commit, sender)
+                self._apply_commit(commit, sender)
             return
-        if sender not in self._heard and len(self._heard) < MAX_HEARD:
-            self._heard[sender] = None
+        if (
+            sender not in self._known_senders
+            and len(self._known_senders) < MAX_KNOWN_SENDERS
+        ):
+            self._known_senders[sender] = None
             self._set_peers()
         self._feed(
             dissemination_lib.DigestHeard(
@@ -113,15 +116,15 @@
                 frozenset(self.machine.leaving_names(clock.now_ms()))
             )
 
-    def _take_commit(
+    def _apply_commit(
         self, commit: commit_lib.Commit, sender: control_lib.Address
     ) -> None:
         if self.configuration.advance(commit):
             return
         if commit.version > self.configuration.held.version:
             # A gap: ask the sender for what lies between.
-            ask = dissemination_lib.SendDigest(sender, False)
-            self._outbox.append(ask)
+            request = dissemination_lib.SendDigest(sender, False)
+            self._outbox.append(request)
             self._wake.set()
 
     def watches(self) -> bool:
@@ -153,7 +156,7 @@
 
     async def _rounds(self) -> None:
         while True:
-            pause_ms = ROUND_MS * self.random.uniform(0.8, 1.2)
+            pause_ms = ROUND_INTERVAL_MS * self.random.uniform(0.8, 1.2)
             await anyio.sleep(pause_ms / MS_PER_S)
             self._feed(dissemination_lib.RoundDue())
 
@@ -175,32 +178,39 @@
 
 
 @functools.singledispatch
-async def _send(action: object, spread: Spread) -> None:
+async def _send(
+    action: object, configuration_gossip: ConfigurationGossip
+) -> None:
     raise TypeError(f"unknown action {action!r}")
 
 
 @_send.register
 async def _send_digest(
-    action: dissemination_lib.SendDigest, spread: Spread
+    action: dissemination_lib.SendDigest,
+    configuration_gossip: ConfigurationGossip,
 ) -> None:
     digest = frame.Digest(
-        spread.configuration.held.version,
+        configuration_gossip.configuration.held.version,
         action.reply,
-        spread.machine.leaving_names(clock.now_ms()),
+        configuration_gossip.machine.leaving_names(clock.now_ms()),
     )
-    await spread.control.send(action.to, 0, digest)
+    await configuration_gossip.control.send(action.to, 0, digest)
 
 
 @_send.register
 async def _push_commit(
-    action: dissemination_lib.PushCommit, spread: Spread
+    action: dissemination_lib.PushCommit,
+    configuration_gossip: ConfigurationGossip,
 ) -> None:
-    await spread.control.send(action.to, 0, frame.PushedCommit(action.data))
+    await configuration_gossip.control.send(
+        action.to, 0, frame.PushedCommit(action.data)
+    )
 
 
 @_send.register
 async def _read_store(
-    action: dissemination_lib.ReadStore, spread: Spread
+    action: dissemination_lib.ReadStore,
+    configuration_gossip: ConfigurationGossip,
 ) -> None:
     del action
-    spread.configuration.nudge()
+    configuration_gossip.configuration.request_read()
--- a/packages/radishd/src/radishd/process/control.py
+++ b/packages/radishd/src/radishd/process/control.py
@@ -19,12 +19,12 @@
 
 Address = tuple[str, int]
 ProbeHandler = Callable[[frame.Probe], load_lib.Load]
-NewsHandler = Callable[
+ChangeHandler = Callable[
     [frame.Digest | frame.PushedCommit, Address], Awaitable[None]
 ]
 
 
-class Control:
+class ControlSocket:
     """One UDP socket of a process."""
 
     def __init__(
@@ -33,12 +33,12 @@
         """Wraps a bound socket."""
         self._socket = socket
         self._metrics = metrics
-        self._sending = anyio.Lock()
+        self._send_lock = anyio.Lock()
         self._nonces = itertools.count(1)
-        self._waiting: dict[int, tuple[Address, anyio.Event]] = {}
-        self._reports: dict[int, load_lib.Load] = {}
+        self._pending_probes: dict[int, tuple[Address, anyio.Event]] = {}
+        self._probe_reports: dict[int, load_lib.Load] = {}
         self.on_probe: ProbeHandler | None = None
-        self.on_change: NewsHandler | None = None
+        self.on_change: ChangeHandler | None = None
         self.bytes_sent = 0
         self.bytes_received = 0
 
@@ -59,11 +59,11 @@
                 report = self.on_probe(datagram.body)
                 await self.send(sender, datagram.nonce, report)
             case load_lib.Load():
-                waiting = self._waiting.get(datagram.nonce)
+                pending = self._pending_probes.get(datagram.nonce)
                 # Only who was asked may answer; a datagram is easily forged.
-                if waiting is not None and waiting[0] == sender:
-                    self._reports[datagram.nonce] = datagram.body
-                    waiting[1].set()
+                if pending is not None and pending[0] == sender:
+                    self._probe_reports[datagram.nonce] = datagram.body
+                    pending[1].set()
             case frame.Digest() | frame.PushedCommit():
                 if self.on_change is not None:
                     await self.on_change(datagram.body, sender)
@@ -77,7 +77,7 @@
         self.bytes_sent += size_bytes
         self._metrics.control_bytes.add({"direction": "out"}, size_bytes)
         try:
-            async with self._sending:
+            async with self._send_lock:
                 await self._socket.sendto(data, *address)
         except OSError:
             return
@@ -98,20 +98,22 @@
         """
         nonce = next(self._nonces) % MAX_NONCE
         event = anyio.Event()
-        self._waiting[nonce] = (address, event)
+        self._pending_probes[nonce] = (address, event)
         try:
             await self.send(address, nonce, frame.Probe(adapter, version))
             with anyio.move_on_after(timeout_ms / MS_PER_S):
                 await event.wait()
-            report = self._reports.pop(nonce, None)
+            report = self._probe_reports.pop(nonce, None)
         finally:
-            del self._waiting[nonce]
+            del self._pending_probes[nonce]
         outcome = "answered" if report is not None else "lost"
         self._metrics.probes.inc({"outcome": outcome})
         return report
 
 
-async def open_control(address: str, metrics: metrics_lib.Metrics) -> Control:
+async def open_control_socket(
+    address: str, metrics: metrics_lib.Metrics
+) -> ControlSocket:
     """Binds the control socket of a process.
 
     Args:
@@ -123,4 +125,4 @@
     """
     host, port = settings_lib.split_address(address)
     socket = await anyio.create_udp_socket(local_host=host, local_port=port)
-    return Control(socket, metrics)
+    return ControlSocket(socket, metrics)
--- a/packages/radishd/src/radishd/process/crash_gossip.py
+++ b/packages/radishd/src/radishd/process/crash_gossip.py
@@ -24,20 +24,20 @@
 
 MS_PER_S = 1_000
 # Words of a crash and of requests that ended well are gathered this long.
-GATHER_MS = 10
+COALESCE_MS = 10
 # How many records one datagram holds, so that it stays below a few kilobytes.
-MAX_RECORDS_A_WORD = 24
+MAX_RECORDS_PER_DATAGRAM = 24
 # How often one other gateway is told what several crashes have in common:
 # often while it is news, rarely afterwards.
-PASS_ON_MS = 1_000
-NEWS_MS = 60_000
-PASS_ON_OLD_MS = 10_000
+GOSSIP_INTERVAL_MS = 1_000
+RECENT_CRASH_MS = 60_000
+OLD_GOSSIP_INTERVAL_MS = 10_000
 # When a gateway that has started asks: it knows few others at first.
-ASK_AFTER_MS = (0, 1_000, 3_000)
-MAX_ASKED = 3
+START_REQUEST_DELAYS_MS = (0, 1_000, 3_000)
+MAX_REQUEST_RECEIVERS = 3
 # Number of gateways that rewrite each record after the store was restored.
 REWRITER_COUNT = 2
-FORGET_EVERY_MS = 10_000
+EXPIRE_INTERVAL_MS = 10_000
 
 Send = Callable[
     [Iterable[fleet_socket.Address], fleet_wire.CrashReport], Awaitable[None]
@@ -59,7 +59,7 @@
         log: decision_log.DecisionLog,
         metrics: metrics_lib.Metrics,
         random_source: random.Random,
-        on_refused: Callable[[crash_evidence.Record], None],
+        on_quarantined: Callable[[crash_evidence.Record], None],
     ) -> None:
         """Starts knowing nothing.
 
@@ -70,7 +70,7 @@
             log: Where what is believed is logged.
             metrics: Where requests that are refused are counted.
             random_source: Chooses whom to tell.
-            on_refused: Told what is known of a request that is refused from
+            on_quarantined: Told what is known of a request that is refused from
                 a crash on that was seen here.
         """
         self.evidence = crash_evidence.CrashEvidence()
@@ -80,35 +80,35 @@
         self._log = log
         self._metrics = metrics
         self._random = random_source
-        self._on_refused = on_refused
-        self._waiting: list[crash_evidence.Record] = []
-        self._asked_by: set[fleet_socket.Address] = set()
-        self._unheard: dict[
+        self._on_quarantined = on_quarantined
+        self._pending: list[crash_evidence.Record] = []
+        self._requesters: set[fleet_socket.Address] = set()
+        self._missed_records: dict[
             fleet_socket.Address, list[crash_evidence.Record]
         ] = {}
-        self._asks = False
+        self._request_pending = False
         self._wake = anyio.Event()
-        self._refused: dict[str, int] = {}
+        self._quarantined: dict[str, int] = {}
         self._trials: set[str] = set()
-        self._forgot_at_ms = clock.boot_ms()
+        self._expired_at_ms = clock.boot_ms()
 
     def crashed(self, crash: crash_lib.Crash) -> None:
         """Records a crash that was seen here, and reports it to others."""
         records = self.evidence.crashed(crash)
-        self._tell_soon(records)
+        self._report_soon(records)
         for record in records:
-            if self._judge(record.fingerprint, source=""):
-                self._on_refused(self.evidence.record(record.fingerprint))
+            if self._update_quarantine(record.fingerprint, source=""):
+                self._on_quarantined(self.evidence.record(record.fingerprint))
 
     def ended_well(self, fingerprint: str) -> None:
         """Records that a request completed without a crash."""
         record = self.evidence.ended_well(fingerprint, clock.boot_ms())
         if record is not None:
             self._log.write("suspect_cleared", fingerprint=fingerprint)
-            self._tell_soon([record])
+            self._report_soon([record])
 
-    def _tell_soon(self, records: list[crash_evidence.Record]) -> None:
-        self._waiting.extend(records)
+    def _report_soon(self, records: list[crash_evidence.Record]) -> None:
+        self._pending.extend(records)
         self._wake.set()
 
     def quarantine(self, fingerprint: str) -> crash_evidence.Quarantine | None:
@@ -116,7 +116,7 @@
         return self.evidence.quarantine(fingerprint, clock.boot_ms())
 
     @property
-    def is_trying(self) -> bool:
+    def has_trial(self) -> bool:
         """Whether a request that is refused is being tried."""
         return bool(self._trials)
 
@@ -147,21 +147,21 @@
         """Returns records that this gateway rewrites to a restored store."""
         return [
             self.evidence.record(fingerprint)
-            for fingerprint in self._refused
+            for fingerprint in self._quarantined
             if self._rank(fingerprint) < REWRITER_COUNT
         ]
 
-    def _judge(self, fingerprint: str, *, source: str) -> bool:
+    def _update_quarantine(self, fingerprint: str, *, source: str) -> bool:
         """Logs a quarantine once; returns whether it is another than before."""
         quarantine = self.quarantine(fingerprint)
         moments = quarantine.moments if quarantine is not None else 0
-        if self._refused.get(fingerprint, 0) == moments:
+        if self._quarantined.get(fingerprint, 0) == moments:
             return False
         if quarantine is None:
-            del self._refused[fingerprint]
+            del self._quarantined[fingerprint]
             self._log.must("quarantine_ended", fingerprint=fingerprint)
             return False
-        self._refused[fingerprint] = moments
+        self._quarantined[fingerprint] = moments
         self._log.must(
             "request_quarantined",
             fingerprint=fingerprint,
@@ -172,99 +172,113 @@
         )
         return True
 
-    def hear(
-        self, news: fleet_wire.CrashReport, sender: fleet_socket.Address
+    def handle_report(
+        self, report: fleet_wire.CrashReport, sender: fleet_socket.Address
     ) -> None:
         """Handles a report of another gateway, and answers if it asks."""
         now_ms = clock.boot_ms()
-        told = [fleet_wire.record_of(record, now_ms) for record in news.records]
-        self.take(told, source=sender[0])
-        unheard = list(filter(None, map(self.evidence.unheard_by, told)))
-        if unheard:
-            self._unheard.setdefault(sender, []).extend(unheard)
+        entries = [
+            fleet_wire.record_of(record, now_ms) for record in report.records
+        ]
+        self.merge(entries, source=sender[0])
+        missed_records = list(
+            filter(None, map(self.evidence.unheard_by, entries))
+        )
+        if missed_records:
+            self._missed_records.setdefault(sender, []).extend(missed_records)
             self._wake.set()
-        if news.asks:
-            self._asked_by.add(sender)
+        if report.asks:
+            self._requesters.add(sender)
             self._wake.set()
 
-    def take(
+    def merge(
         self, records: Iterable[crash_evidence.Record], *, source: str
     ) -> None:
         """Applies what other processes have seen."""
         for record in records:
             if self.evidence.take(record):
-                self._judge(record.fingerprint, source=source)
+                self._update_quarantine(record.fingerprint, source=source)
 
-    async def _tell(
+    async def _send_records(
         self,
         addresses: Iterable[fleet_socket.Address],
         records: list[crash_evidence.Record],
     ) -> None:
         now_ms = clock.boot_ms()
-        told = [fleet_wire.told_record(record, now_ms) for record in records]
-        for first in range(0, len(told), MAX_RECORDS_A_WORD):
-            batch = tuple(told[first : first + MAX_RECORDS_A_WORD])
+        entries = [fleet_wire.told_record(record, now_ms) for record in records]
+        for first in range(0, len(entries), MAX_RECORDS_PER_DATAGRAM):
+            batch = tuple(entries[first : first + MAX_RECORDS_PER_DATAGRAM])
             await self._send(addresses, fleet_wire.CrashReport(batch))
 
-    async def tell_others(self) -> None:
+    async def send_reports(self) -> None:
         """Sends reports to others, and to those that ask, until cancelled."""
         while True:
             await self._wake.wait()
             self._wake = anyio.Event()
-            await anyio.sleep(GATHER_MS / MS_PER_S)
-            records, self._waiting = self._waiting, []
-            asked_by, self._asked_by = self._asked_by, set()
-            await self._tell(self._others(), records)
-            if self._asks:
-                self._asks = False
-                await self._ask()
-            await self._tell(asked_by, list(self.evidence.recurring()))
-            unheard, self._unheard = self._unheard, {}
-            for address, cleared in unheard.items():
-                await self._tell((address,), cleared)
-
-    async def pass_on(self) -> None:
+            await anyio.sleep(COALESCE_MS / MS_PER_S)
+            records, self._pending = self._pending, []
+            requesters, self._requesters = self._requesters, set()
+            await self._send_records(self._others(), records)
+            if self._request_pending:
+                self._request_pending = False
+                await self._request_reports()
+            await self._send_records(
+                requesters, list(self.evidence.recurring())
+            )
+            missed_records, self._missed_records = self._missed_records, {}
+            for address, missed in missed_records.items():
+                await self._send_records((address,), missed)
+
+    async def gossip_recurring(self) -> None:
         """Reports recurring suspects to one other gateway at an interval."""
         while True:
             records = list(self.evidence.recurring())
             await anyio.sleep(self._pause_ms(records) / MS_PER_S)
             others = self._others()
             if records and others:
-                await self._tell((self._random.choice(others),), records)
+                await self._send_records(
+                    (self._random.choice(others),), records
+                )
 
     def _pause_ms(self, records: list[crash_evidence.Record]) -> int:
         newest_ms = max(
             (record.observations[-1].ended_at_ms for record in records),
             default=crash_evidence.NEVER_MS,
         )
-        is_news = clock.boot_ms() - newest_ms < NEWS_MS
-        return PASS_ON_MS if is_news or not records else PASS_ON_OLD_MS
+        is_recent = clock.boot_ms() - newest_ms < RECENT_CRASH_MS
+        return (
+            GOSSIP_INTERVAL_MS
+            if is_recent or not records
+            else OLD_GOSSIP_INTERVAL_MS
+        )
 
-    def ask_soon(self) -> None:
+    def request_reports_soon(self) -> None:
         """Asks for what was told while this gateway could not be reached."""
-        self._asks = True
+        self._request_pending = True
         self._wake.set()
 
-    async def _ask(self) -> None:
+    async def _request_reports(self) -> None:
         others = self._others()
-        asked = self._random.sample(others, min(MAX_ASKED, len(others)))
-        await self._send(asked, fleet_wire.CrashReport(asks=True))
+        receivers = self._random.sample(
+            others, min(MAX_REQUEST_RECEIVERS, len(others))
+        )
+        await self._send(receivers, fleet_wire.CrashReport(asks=True))
 
-    async def ask_at_start(self) -> None:
+    async def request_reports_at_start(self) -> None:
         """Asks a few times: the first others that are known may be gone."""
         began_ms = clock.boot_ms()
-        for after_ms in ASK_AFTER_MS:
+        for after_ms in START_REQUEST_DELAYS_MS:
             left_ms = began_ms + after_ms - clock.boot_ms()
             await anyio.sleep(max(0, left_ms) / MS_PER_S)
-            await self._ask()
+            await self._request_reports()
         await anyio.sleep_forever()
 
     def sweep(self) -> None:
         """Forgets what is too old, and notes what is refused no more."""
         now_ms = clock.boot_ms()
-        if now_ms - self._forgot_at_ms > FORGET_EVERY_MS:
-            self._forgot_at_ms = now_ms
+        if now_ms - self._expired_at_ms > EXPIRE_INTERVAL_MS:
+            self._expired_at_ms = now_ms
             self.evidence.forget(now_ms)
-        for fingerprint in list(self._refused):
-            self._judge(fingerprint, source="")
-        self._metrics.quarantined_requests.set({}, len(self._refused))
+        for fingerprint in list(self._quarantined):
+            self._update_quarantine(fingerprint, source="")
+        self._metrics.quarantined_requests.set({}, len(self._quarantined))
--- a/packages/radishd/src/radishd/process/crash_record.py
+++ b/packages/radishd/src/radishd/process/crash_record.py
@@ -16,14 +16,14 @@
 _Text = Annotated[str, pydantic.Field(min_length=1, pattern=r"^[!-~]+$")]
 
 
-class _Observation(checked.Checked):
+class _Observation(checked.StrictModel):
     target: _Text
-    born_ms: checked.Birth
+    born_ms: checked.StartTimeMs
     began_unix_ms: int
     ended_unix_ms: int
 
 
-class _CrashRecord(checked.Checked):
+class _CrashRecord(checked.StrictModel):
     fingerprint: Annotated[str, pydantic.Field(pattern=r"^[0-9a-f]{32}$")]
     observations: Annotated[list[_Observation], pydantic.Field(max_length=64)]
 
@@ -67,7 +67,7 @@
     try:
         entry = _CrashRecord.model_validate(spec)
     except ValueError as error:
-        return checked.unreadable("crash", error)
+        return checked.invalid_object("crash", error)
     return crash_evidence.Record(
         entry.fingerprint,
         tuple(
--- a/packages/radishd/src/radishd/process/decision_log.py
+++ b/packages/radishd/src/radishd/process/decision_log.py
@@ -16,28 +16,28 @@
 
 # Lines a second that a process writes at most, and the burst above it: twice
 # the requests of one gateway at the planned peak.
-RATE_PER_S = 60.0
-BURST = 240.0
+MAX_LINES_PER_S = 60.0
+BURST_LINES = 240.0
 # Bytes that wait for a slow reader before lines are dropped.
-MAX_WAITING_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 NS_PER_S = 1_000_000_000
 
 
 class DecisionLog:
     """Writes decisions of one process."""
 
-    def __init__(self, fd: int, **always: str) -> None:
+    def __init__(self, fd: int, **constant_fields: str) -> None:
         """Makes the descriptor non-blocking.
 
         Args:
             fd: Where lines go.
-            **always: Fields of every line.
+            **constant_fields: Fields of every line.
         """
         self._fd = fd
-        self._always = always
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._waiting_bytes = 0
-        self._tokens = BURST
+        self._constant_fields = constant_fields
+        self._pending: collections.deque[bytes] = collections.deque()
+        self._pending_bytes = 0
+        self._tokens = BURST_LINES
         self._refilled_ns = time.monotonic_ns()
         self.dropped = 0
         self.written = 0
@@ -57,56 +57,61 @@
             fields["dropped_lines"] = self.dropped
             self.dropped = 0
         at_ms = time.time_ns() // 1_000_000
-        line = {"at_ms": at_ms, "event": event, **self._always, **fields}
+        line = {
+            "at_ms": at_ms,
+            "event": event,
+            **self._constant_fields,
+            **fields,
+        }
         data = json.dumps(line, separators=(",", ":"), default=str)
-        self._push(data.encode() + b"\n")
+        self._enqueue(data.encode() + b"\n")
 
     def _take_token(self) -> bool:
         now_ns = time.monotonic_ns()
-        gained = (now_ns - self._refilled_ns) / NS_PER_S * RATE_PER_S
-        self._tokens = min(BURST, self._tokens + gained)
+        refill = (now_ns - self._refilled_ns) / NS_PER_S * MAX_LINES_PER_S
+        self._tokens = min(BURST_LINES, self._tokens + refill)
         self._refilled_ns = now_ns
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _push(self, data: bytes) -> None:
-        if self._waiting_bytes + len(data) > MAX_WAITING_BYTES:
+    def _enqueue(self, data: bytes) -> None:
+        if self._pending_bytes + len(data) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+        self._pending.append(data)
+        self._pending_bytes += len(data)
         self.flush()
 
     def flush(self) -> None:
         """Writes what the reader takes now."""
-        while self._waiting:
-            data = self._waiting[0]
+        while self._pending:
+            data = self._pending[0]
             try:
                 size = os.write(self._fd, data)
             except BlockingIOError:
                 return
             except OSError:
                 # The reader is gone; nothing else can be told to anybody.
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                self._pending.clear()
+                self._pending_bytes = 0
                 return
-            self._waiting_bytes -= size
+            self._pending_bytes -= size
             if size < len(data):
-                self._waiting[0] = data[size:]
+                self._pending[0] = data[size:]
                 return
-            self._waiting.popleft()
+            self._pending.popleft()
             self.written += 1
 
 
-def open_log(**always: str) -> DecisionLog:
+def open_log(**constant_fields: str) -> DecisionLog:
     """Opens the decision log on standard output.
 
     Args:
-        **always: Fields of every line, for example ``vm``.
+        **constant_fields: Fields of every line, for example ``vm``.
 
     Returns:
         The log.
     """
-    return DecisionLog(sys.stdout.fileno(), **always)
+    return DecisionLog(sys.stdout.fileno(), **constant_fields)
--- a/packages/radishd/src/radishd/process/knowledge.py
+++ b/packages/radishd/src/radishd/process/discovery.py
@@ -30,27 +30,27 @@
 MS_PER_S = 1_000
 # A watch of the targets is renewed this often, so that a store that went
 # silent is noticed; the other two kinds change rarely and follow its lead.
-TARGETS_WAIT_MS = 2_000
+TARGETS_WATCH_MS = 2_000
 # Changes of targets are gathered for this part of the time in which one that
 # leaves must get no more work; the rest is for the watch and what is on its
 # way. Each answer of a watch is a call that is paid for: engines change their
 # entries about once a second, so nearly every watch is answered at once.
-TARGETS_GATHER_PART = 0.55
-RARE_WAIT_MS = 15_000
+TARGETS_COALESCE_FRACTION = 0.55
+RARE_WATCH_MS = 15_000
 # The first change of the configuration is taken at once; those that follow it
 # are gathered for this part of the time in which a change must be in force.
 # Changes of a storm come tens of milliseconds apart, and each would cost a call
 # of every gateway.
-CONFIGURATION_GATHER_PART = 0.2
-VERSIONS_GATHER_MS = 120
+CONFIGURATION_COALESCE_FRACTION = 0.2
+VERSIONS_COALESCE_MS = 120
 # After an outage of this length the other calls are made anew: one that began
 # in it may hang until its end, seconds later. After a shorter one a failed
 # call's own retry comes about as soon, and renewals that fail again would
 # make each other's.
-HANGING_AFTER_MS = 500
+RENEW_AFTER_MS = 500
 # Objects that could not be used of which the state is remembered, so that each
 # is logged once; and how much of the reason a line holds.
-MAX_REFUSED = 1_024
+MAX_REJECTED_OBJECTS = 1_024
 MAX_REASON_CHARS = 400
 # Versions of the configuration of which operators are told what changed, and
 # differences of one version that a line of the log names.
@@ -58,7 +58,7 @@
 MAX_LOGGED_CHANGES = 12
 
 
-class Knowledge:
+class Discovery:
     """What one gateway knows, and how it learns it.
 
     Attributes:
@@ -126,21 +126,23 @@
         self.changes: collections.deque[table_changes.Change] = (
             collections.deque(maxlen=MAX_CHANGES)
         )
-        self._takes: dict[str, Callable[[stored.Record], None]] = {
-            wire.KIND_CONFIGURATION: self._take_configuration,
-            wire.KIND_TARGETS: self._take_target,
-            wire.KIND_VERSIONS: self._take_version,
+        self._apply_functions: dict[str, Callable[[stored.Record], None]] = {
+            wire.KIND_CONFIGURATION: self._apply_configuration,
+            wire.KIND_TARGETS: self._apply_target,
+            wire.KIND_VERSIONS: self._apply_version,
         }
         self.followers = self._make_followers()
         self.known: dict[str, dict[str, stored.Record]] = {
             kind: {} for kind in self.followers
         }
-        self._refused: dict[tuple[str, str], store_position.StorePosition] = {}
-        self.told_positions = dict.fromkeys(
+        self._rejected_positions: dict[
+            tuple[str, str], store_position.StorePosition
+        ] = {}
+        self.peer_positions = dict.fromkeys(
             self.followers, store_position.StorePosition()
         )
 
-    def note_nameless(self, kind: str, count: int) -> None:
+    def record_nameless(self, kind: str, count: int) -> None:
         """Counts and logs objects that have no name."""
         for _ in range(count):
             self._metrics.unreadable.inc({"kind": kind})
@@ -152,26 +154,28 @@
         self._on_change()
 
     def _make_followers(self) -> dict[str, follow.Follower]:
-        configuration_gather_ms = round(
-            self._configuration_ms * CONFIGURATION_GATHER_PART
+        configuration_coalesce_ms = round(
+            self._configuration_ms * CONFIGURATION_COALESCE_FRACTION
         )
-        targets_gather_ms = round(self._leaving_ms * TARGETS_GATHER_PART)
-        paces = {
-            wire.KIND_CONFIGURATION: (RARE_WAIT_MS, configuration_gather_ms),
-            wire.KIND_TARGETS: (TARGETS_WAIT_MS, targets_gather_ms),
-            wire.KIND_VERSIONS: (RARE_WAIT_MS, VERSIONS_GATHER_MS),
+        targets_coalesce_ms = round(
+            self._leaving_ms * TARGETS_COALESCE_FRACTION
+        )
+        delays_ms = {
+            wire.KIND_CONFIGURATION: (RARE_WATCH_MS, configuration_coalesce_ms),
+            wire.KIND_TARGETS: (TARGETS_WATCH_MS, targets_coalesce_ms),
+            wire.KIND_VERSIONS: (RARE_WATCH_MS, VERSIONS_COALESCE_MS),
         }
         return {
             kind: follow.Follower(
                 self._store,
                 kind,
-                _Sink(self, kind, self._takes[kind]),
+                _Sink(self, kind, self._apply_functions[kind]),
                 self._log,
                 wait_ms=wait_ms,
-                gather_ms=gather_ms,
+                coalesce_ms=coalesce_ms,
                 on_lost=self._store_lost,
             )
-            for kind, (wait_ms, gather_ms) in paces.items()
+            for kind, (wait_ms, coalesce_ms) in delays_ms.items()
         }
 
     def _store_lost(self, kind: str) -> None:
@@ -192,7 +196,7 @@
         Counted from the first answer on the targets, which may come seconds
         after the store's return, doubt would hide those that leave meanwhile.
         """
-        doubted = self._roster.outage_ended(
+        may_have_expired = self._roster.outage_ended(
             clock.boot_ms(), away_ms=absence.away_ms
         )
         self._log.must(
@@ -200,12 +204,12 @@
             kind=kind,
             away_ms=absence.away_ms,
             failed=absence.failed,
-            read_revision=self._seen_position(wire.KIND_TARGETS).revision,
+            read_revision=self._known_position(wire.KIND_TARGETS).revision,
             era=self._store.era,
-            may_have_lapsed=doubted,
+            may_have_lapsed=may_have_expired,
         )
         self._on_store_back()
-        if not absence.failed or absence.away_ms < HANGING_AFTER_MS:
+        if not absence.failed or absence.away_ms < RENEW_AFTER_MS:
             return
         for name, follower in self.followers.items():
             if name != kind:
@@ -217,11 +221,11 @@
         A restored store reuses revisions, so a watch from a revision of the
         former era may succeed and miss changes.
         """
-        self._note_era(self._store.era, told_by="store")
+        self._enter_era(self._store.era, told_by="store")
         for follower in self.followers.values():
             follower.restart()
 
-    def _note_era(self, era: int, *, told_by: str) -> None:
+    def _enter_era(self, era: int, *, told_by: str) -> None:
         if era <= self._era:
             return
         self._era = era
@@ -229,18 +233,18 @@
             "store_restored",
             era=era,
             told_by=told_by,
-            read_revision=self._seen_position(wire.KIND_TARGETS).revision,
+            read_revision=self._known_position(wire.KIND_TARGETS).revision,
         )
         # Entries written after the copy are missing until they are renewed.
         self._roster.begin_grace(clock.boot_ms())
         self._on_store_restored()
 
-    def _take_configuration(self, record: stored.Record) -> None:
+    def _apply_configuration(self, record: stored.Record) -> None:
         if record.deleted or record.name != wire.CONFIGURATION_NAME:
             return
         table = wire.configuration(record.spec)
         if isinstance(table, result.Failure):
-            self._refuse(wire.KIND_CONFIGURATION, record, table.message)
+            self._reject(wire.KIND_CONFIGURATION, record, table.message)
             return
         before = self._holder.table
         if not self._holder.offer(table):
@@ -266,16 +270,16 @@
         if before.services.keys() != table.services.keys():
             # Targets of a service that was not named before, or is no more.
             for target in list(self.known[wire.KIND_TARGETS].values()):
-                self._take_target(target)
+                self._apply_target(target)
 
-    def _refuse(self, kind: str, record: stored.Record, reason: str) -> None:
+    def _reject(self, kind: str, record: stored.Record, reason: str) -> None:
         """Records an object that cannot be used; logs each revision once."""
         key = (kind, record.name)
-        if self._refused.get(key) == record.position:
+        if self._rejected_positions.get(key) == record.position:
             return
-        if len(self._refused) >= MAX_REFUSED:
-            self._refused.clear()
-        self._refused[key] = record.position
+        if len(self._rejected_positions) >= MAX_REJECTED_OBJECTS:
+            self._rejected_positions.clear()
+        self._rejected_positions[key] = record.position
         self._metrics.unreadable.inc({"kind": kind})
         self._log.write(
             "object_refused",
@@ -285,16 +289,16 @@
             reason=reason[:MAX_REASON_CHARS],
         )
 
-    def _refuse_target(self, record: stored.Record, reason: str) -> None:
-        self._refuse(wire.KIND_TARGETS, record, reason)
+    def _reject_target(self, record: stored.Record, reason: str) -> None:
+        self._reject(wire.KIND_TARGETS, record, reason)
         # What it said before is not true any more, and what it says now names
         # nothing that a request could be sent to.
         if self._roster.drop(record.name):
             self._log.write("target_dropped", target=record.name)
 
-    def _take_target(self, record: stored.Record) -> None:
+    def _apply_target(self, record: stored.Record) -> None:
         if record.deleted:
-            self._take_unlisted(record.name)
+            self._apply_removal(record.name)
             return
         listing = wire.target(
             record.name,
@@ -304,18 +308,18 @@
             record.era,
         )
         if isinstance(listing, result.Failure):
-            self._refuse_target(record, listing.message)
+            self._reject_target(record, listing.message)
             return
         table = self._holder.table
         if table.version and listing.service not in table.services:
             # Taken for a target it would count as the later one at its
             # address, and whichever runs there would get no more work.
-            self._refuse_target(record, f"no service {listing.service!r}")
+            self._reject_target(record, f"no service {listing.service!r}")
             return
         known = self._roster.members.get(record.name)
         lapsed = known is not None and bool(known.lapses_at_ms)
         known_listing = known.listing if known is not None else None
-        begun = self._roster.upsert(listing)
+        new_member = self._roster.upsert(listing)
         if (
             known_listing is None
             or lapsed
@@ -340,7 +344,7 @@
                 ),
                 lapsed=lapsed,
             )
-        if begun is None:
+        if new_member is None:
             return
         if known is not None:
             self._log.must(
@@ -350,9 +354,9 @@
                 former_born_ms=known.listing.born_ms,
                 told_by="list",
             )
-        self._on_listed(begun)
+        self._on_listed(new_member)
 
-    def _take_unlisted(self, name: str) -> None:
+    def _apply_removal(self, name: str) -> None:
         now_ms = clock.boot_ms()
         known = self._roster.members.get(name)
         dropped = self._roster.remove(name, now_ms)
@@ -365,19 +369,21 @@
             kept_ms=kept.lapses_at_ms - now_ms if kept else 0,
         )
 
-    def _take_version(self, record: stored.Record) -> None:
+    def _apply_version(self, record: stored.Record) -> None:
         if record.deleted:
             return
-        want = wire.announced(record.spec)
-        if isinstance(want, result.Failure):
-            self._refuse(wire.KIND_VERSIONS, record, want.message)
+        announced = wire.announced(record.spec)
+        if isinstance(announced, result.Failure):
+            self._reject(wire.KIND_VERSIONS, record, announced.message)
             return
         now_ms = clock.boot_ms()
-        taken = self._placement.announce(want.adapter, want.version, now_ms)
+        taken = self._placement.announce(
+            announced.adapter, announced.version, now_ms
+        )
         self._log.write(
             "version_announced",
-            adapter=want.adapter,
-            version=want.version,
+            adapter=announced.adapter,
+            version=announced.version,
             taken=taken,
         )
 
@@ -394,9 +400,9 @@
                 continue
             known = await self._peers.ask()
             if known is not None:
-                self.take_known(known)
+                self.apply_peer_objects(known)
 
-    def take_known(self, known: dict[str, Any]) -> None:
+    def apply_peer_objects(self, known: dict[str, Any]) -> None:
         """Applies what another gateway knows, of the kinds not read here.
 
         Args:
@@ -406,7 +412,7 @@
             follower = self.followers.get(kind)
             if follower is None or not follower.failing_since_ms:
                 continue
-            told_position = store_position.StorePosition(
+            peer_position = store_position.StorePosition(
                 int(known.get("eras", {}).get(kind, 0)),
                 int(known.get("revisions", {}).get(kind, 0)),
             )
@@ -415,18 +421,18 @@
                     name,
                     wire.without_secrets(spec, told_by_peer=True),
                     *rest,
-                    era=told_position.era,
+                    era=peer_position.era,
                 )
                 for name, (spec, *rest) in names.items()
             ]
             fresh = bool(known.get("fresh"))
-            self._take_told(kind, records, told_position, fresh=fresh)
+            self._apply_newer_objects(kind, records, peer_position, fresh=fresh)
 
-    def _take_told(
+    def _apply_newer_objects(
         self,
         kind: str,
         records: list[stored.Record],
-        told_position: store_position.StorePosition,
+        peer_position: store_position.StorePosition,
         *,
         fresh: bool,
     ) -> None:
@@ -435,29 +441,29 @@
         Otherwise a peer whose view is older would bring back targets that
         are known to leave, and no watch would take them away again.
         """
-        seen_position = self._seen_position(kind)
-        if 0 < seen_position.era < told_position.era:
-            self._note_era(told_position.era, told_by="peer")
-        if fresh and told_position > seen_position:
-            self.told_positions[kind] = told_position
+        known_position = self._known_position(kind)
+        if 0 < known_position.era < peer_position.era:
+            self._enter_era(peer_position.era, told_by="peer")
+        if fresh and peer_position > known_position:
+            self.peer_positions[kind] = peer_position
             if kind == wire.KIND_TARGETS:
-                self._drop_unlisted({record.name for record in records})
+                self._remove_unlisted({record.name for record in records})
         for record in records:
-            if record.position > seen_position:
+            if record.position > known_position:
                 self.known[kind][record.name] = record
-                self._takes[kind](record)
+                self._apply_functions[kind](record)
 
-    def _seen_position(self, kind: str) -> store_position.StorePosition:
+    def _known_position(self, kind: str) -> store_position.StorePosition:
         read_position = self.followers[kind].read_position
-        return max(read_position, self.told_positions[kind])
+        return max(read_position, self.peer_positions[kind])
 
-    def _drop_unlisted(self, names: set[str]) -> None:
+    def _remove_unlisted(self, names: set[str]) -> None:
         for name in list(self._roster.members):
             if name not in names:
                 self.known[wire.KIND_TARGETS].pop(name, None)
-                self._take_unlisted(name)
+                self._apply_removal(name)
 
-    def tell(self) -> dict[str, Any]:
+    def export_objects(self) -> dict[str, Any]:
         """Returns what another gateway may take over from here."""
         follower = self.followers[wire.KIND_TARGETS]
         # While this gateway doubts absences itself, another one that takes
@@ -467,7 +473,7 @@
             and not follower.failing_since_ms
             and not self._roster.is_in_doubt(clock.boot_ms())
         )
-        positions = {kind: self._seen_position(kind) for kind in self.known}
+        positions = {kind: self._known_position(kind) for kind in self.known}
         # The message has one era per kind: a revision of a former era would
         # be read as one of the current era.
         objects = {
@@ -495,38 +501,38 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        discovery: Discovery,
         kind: str,
-        take: Callable[[stored.Record], None],
+        apply: Callable[[stored.Record], None],
     ) -> None:
-        self._knowledge = knowledge
+        self._discovery = discovery
         self._kind = kind
-        self._take = take
+        self._apply = apply
 
-    def whole(self, batch: stored.Batch) -> None:
+    def replace_all(self, batch: stored.Batch) -> None:
         """Replaces all objects."""
-        self._knowledge.note_nameless(self._kind, batch.nameless_count)
+        self._discovery.record_nameless(self._kind, batch.nameless_count)
         known = {record.name: record for record in batch.records}
         missing = [
             name
-            for name in self._knowledge.known[self._kind]
+            for name in self._discovery.known[self._kind]
             if name not in known
         ]
-        self._knowledge.known[self._kind] = known
+        self._discovery.known[self._kind] = known
         for name in missing:
-            self._take(stored.Record(name, None, deleted=True))
+            self._apply(stored.Record(name, None, deleted=True))
         for record in batch.records:
-            self._take(record)
-        self._knowledge.notify_change()
+            self._apply(record)
+        self._discovery.notify_change()
 
     def changes(self, batch: stored.Batch) -> None:
         """Applies changed objects."""
-        self._knowledge.note_nameless(self._kind, batch.nameless_count)
-        known = self._knowledge.known[self._kind]
+        self._discovery.record_nameless(self._kind, batch.nameless_count)
+        known = self._discovery.known[self._kind]
         for record in batch.records:
             if record.deleted:
                 known.pop(record.name, None)
             else:
                 known[record.name] = record
-            self._take(record)
-        self._knowledge.notify_change()
+            self._apply(record)
+        self._discovery.notify_change()
--- a/packages/radishd/src/radishd/process/engine.py
+++ b/packages/radishd/src/radishd/process/engine.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class EngineState:
     """What an engine says of itself."""
 
     incarnation: str
@@ -55,7 +55,7 @@
                 result.TARGET_FAILED, f"{path}: {type(error).__name__} {error}"
             )
 
-    async def look(self) -> result.Outcome[Seen]:
+    async def get_state(self) -> result.Outcome[EngineState]:
         """Asks which adapters are resident, in which incarnation."""
         response = await self._call(
             "GET", "/v1/models", {}, self._call_timeout_s
@@ -74,7 +74,7 @@
                 result.TARGET_FAILED, f"/v1/models: {error!r}"
             )
         resident = frozenset(name for name in names if "@" in name)
-        return Seen(_incarnation(response), resident)
+        return EngineState(_incarnation(response), resident)
 
     async def load(
         self, adapter: str, source: str, order: int
--- a/packages/radishd/src/radishd/process/follow.py
+++ b/packages/radishd/src/radishd/process/follow.py
@@ -30,7 +30,7 @@
 class Sink(typing.Protocol):
     """Receives what a follower reads."""
 
-    def whole(self, batch: stored.Batch) -> None:
+    def replace_all(self, batch: stored.Batch) -> None:
         """Receives all objects."""
 
     def changes(self, batch: stored.Batch) -> None:
@@ -56,7 +56,7 @@
         log: decision_log.DecisionLog,
         *,
         wait_ms: int,
-        gather_ms: int,
+        coalesce_ms: int,
         on_lost: Callable[[str], None] = lambda kind: None,
     ) -> None:
         """Makes a follower that has read nothing.
@@ -67,7 +67,7 @@
             sink: Takes what is read.
             log: Where a lost and regained store is logged.
             wait_ms: How long one watch waits.
-            gather_ms: Pause after changes, in which further ones gather:
+            coalesce_ms: Pause after changes, in which further ones gather:
                 each answer of a watch is a call that is paid for.
             on_lost: Called when the store stops answering.
         """
@@ -76,22 +76,22 @@
         self._sink = sink
         self._log = log
         self._wait_ms = wait_ms
-        self._gather_ms = gather_ms
+        self._coalesce_ms = coalesce_ms
         self._on_lost = on_lost
         self._random = random.Random()
         self._retry_ms = RETRY_FIRST_MS
-        self._restart: anyio.CancelScope | None = None
+        self._cancel_scope: anyio.CancelScope | None = None
         self.failing_since_ms = 0
         self.revision = 0
         self.era = 0
         self.read_position = store_position.StorePosition()
-        self._doubted = False
-        self._asks_briefly = False
+        self._probe_requested = False
+        self._is_call_short = False
 
     def restart(self) -> None:
         """Begins with a new list, when what was read is not trusted."""
         self.revision = 0
-        self._begin_anew()
+        self._cancel_call()
 
     def renew(self) -> None:
         """Asks again at once, when the watch under way may hang.
@@ -99,25 +99,25 @@
         A list or a probe goes on: it ends soon in any case, and calls that
         cut each other short would never end while the store is slow.
         """
-        self._doubted = True
-        if not self._asks_briefly:
-            self._begin_anew()
+        self._probe_requested = True
+        if not self._is_call_short:
+            self._cancel_call()
 
-    def _begin_anew(self) -> None:
-        if self._restart is not None:
-            self._restart.cancel()
+    def _cancel_call(self) -> None:
+        if self._cancel_scope is not None:
+            self._cancel_scope.cancel()
 
     async def run(self) -> None:
         """Follows until cancelled."""
         while True:
-            with anyio.CancelScope() as self._restart:
+            with anyio.CancelScope() as self._cancel_scope:
                 while True:
-                    await self._round()
+                    await self._poll_once()
 
-    async def _round(self) -> None:
+    async def _poll_once(self) -> None:
         lists = not self.revision
-        probes = self._doubted or bool(self.failing_since_ms)
-        self._asks_briefly = lists or probes
+        probes = self._probe_requested or bool(self.failing_since_ms)
+        self._is_call_short = lists or probes
         try:
             if lists:
                 answer = await self._store.list(self._kind)
@@ -127,12 +127,12 @@
                     self._kind, self.revision, wait_ms
                 )
         finally:
-            self._asks_briefly = False
+            self._is_call_short = False
         # A watch that ends while a new list is asked for is not trusted.
         if lists or self.revision:
-            await self._take(answer, listed=lists)
+            await self._handle_answer(answer, listed=lists)
 
-    async def _take(
+    async def _handle_answer(
         self,
         answer: result.Outcome[stored.Batch] | stored.Expired,
         *,
@@ -143,20 +143,20 @@
             self.revision = 0
             return
         if isinstance(answer, result.Failure):
-            await self._failed(answer)
+            await self._handle_failure(answer)
             return
         if not listed and answer.era != self.era:
             # The store was restored during the watch; read a new list.
             self.revision = 0
             return
-        self._answered(answer)
+        self._record_success(answer)
         if listed:
-            self._sink.whole(answer)
+            self._sink.replace_all(answer)
         elif answer.records:
             self._sink.changes(answer)
-            await anyio.sleep(self._gather_ms / MS_PER_S)
+            await anyio.sleep(self._coalesce_ms / MS_PER_S)
 
-    async def _failed(self, failure: result.Failure) -> None:
+    async def _handle_failure(self, failure: result.Failure) -> None:
         if not self.failing_since_ms:
             self.failing_since_ms = clock.boot_ms()
             self._log.must(
@@ -167,11 +167,11 @@
         self._retry_ms = min(self._retry_ms * 2, RETRY_MAX_MS)
         await anyio.sleep(pause_ms / MS_PER_S)
 
-    def _answered(self, answer: stored.Batch) -> None:
+    def _record_success(self, answer: stored.Batch) -> None:
         self.revision = max(self.revision, answer.revision)
         self.era = answer.era
         self.read_position = max(self.read_position, answer.position)
-        self._doubted = False
+        self._probe_requested = False
         self._retry_ms = RETRY_FIRST_MS
         if not self.failing_since_ms:
             return
--- a/packages/radishd/src/radishd/process/kept_crashes.py
+++ b/packages/radishd/src/radishd/process/kept_crashes.py
@@ -23,40 +23,43 @@
 RETRY_FIRST_MS = 500
 RETRY_MAX_MS = 30_000
 # Cases that wait to be written; one that does not fit is told by gateways.
-MAX_WAITING = 64
+MAX_PENDING_RECORDS = 64
 
-Take = Callable[[Iterable[crash_evidence.Record]], None]
+ApplyRecords = Callable[[Iterable[crash_evidence.Record]], None]
 
 
 class KeptCrashes:
     """Reads records as the gateway starts, and writes its own."""
 
     def __init__(
-        self, store: store_lib.Store, take: Take, log: decision_log.DecisionLog
+        self,
+        store: store_lib.Store,
+        apply_records: ApplyRecords,
+        log: decision_log.DecisionLog,
     ) -> None:
         """Starts with nothing read and nothing to write.
 
         Args:
             store: The platform's store.
-            take: Given what is read.
+            apply_records: Given what is read.
             log: Where it is logged.
         """
         self._store = store
-        self._take = take
+        self._apply_records = apply_records
         self._log = log
-        self._waiting: dict[str, crash_evidence.Record] = {}
+        self._pending: dict[str, crash_evidence.Record] = {}
         self._wake = anyio.Event()
 
     def keep(self, record: crash_evidence.Record) -> None:
         """Has a record written as soon as the store takes it."""
-        if len(self._waiting) >= MAX_WAITING:
+        if len(self._pending) >= MAX_PENDING_RECORDS:
             self._log.write(
                 "crash_record_not_kept", fingerprint=record.fingerprint
             )
             return
         # Two gateways that saw the same crash write the same object.
         name = f"{record.fingerprint}-{len(record.observations)}"
-        self._waiting[name] = record
+        self._pending[name] = record
         self._wake.set()
 
     async def run(self) -> None:
@@ -94,16 +97,16 @@
             records.append(record)
         if records:
             self._log.must("crash_records_read", count=len(records))
-        self._take(records)
+        self._apply_records(records)
 
     async def _write(self) -> None:
         pause_ms = RETRY_FIRST_MS
-        while self._waiting:
-            name, record = next(iter(self._waiting.items()))
+        while self._pending:
+            name, record = next(iter(self._pending.items()))
             spec = crash_record.encode(record, clock.boot_ms(), clock.unix_ms())
             failure = await self._store.create(crash_record.KIND, name, spec)
             if failure is None:
-                del self._waiting[name]
+                del self._pending[name]
                 self._log.must("crash_record_kept", object=name)
                 pause_ms = RETRY_FIRST_MS
                 continue
--- a/packages/radishd/src/radishd/process/load_requests.py
+++ b/packages/radishd/src/radishd/process/load_requests.py
@@ -18,12 +18,12 @@
 
 MS_PER_S = 1_000
 # Words that others wait for are gathered this long.
-HURRY_MS = 15
+URGENT_DELAY_MS = 15
 # Where nothing is used or wanted every third regular word is enough for this
 # gateway to stay known there.
-IDLE_TURNS = 3
+IDLE_TURN_INTERVAL = 3
 
-Tell = Callable[[roster_lib.Member], Awaitable[None]]
+SendDemand = Callable[[roster_lib.Member], Awaitable[None]]
 
 
 class LoadRequest:
@@ -51,27 +51,27 @@
         self,
         placement: placement_lib.Placement,
         log: decision_log.DecisionLog,
-        tell: Tell,
+        send_demand: SendDemand,
     ) -> None:
         """Starts with none.
 
         Args:
             placement: Learns of load requests before the engine's next word.
             log: Where a wish for a load is logged.
-            tell: Sends a word to the process beside an engine.
+            send_demand: Sends a word to the process beside an engine.
         """
         self._placement = placement
         self._log = log
-        self._tell = tell
-        self._books: dict[str, demand_table.DemandTable] = {}
-        self._hurried: dict[str, roster_lib.Member] = {}
-        self._hurry_event = anyio.Event()
+        self._send_demand = send_demand
+        self._demand_tables: dict[str, demand_table.DemandTable] = {}
+        self._urgent: dict[str, roster_lib.Member] = {}
+        self._urgent_event = anyio.Event()
 
-    def take(
+    def collect(
         self, address: str
     ) -> tuple[tuple[adapter_keeper.Use, ...], tuple[adapter_keeper.Want, ...]]:
         """Returns what is to be sent of one engine now."""
-        return self._book(address).take(clock.boot_ms())
+        return self._demand_table(address).take(clock.boot_ms())
 
     def is_due(self, member: roster_lib.Member, turn: int) -> bool:
         """Whether the regular word of this turn is to be told.
@@ -80,16 +80,18 @@
             member: An engine.
             turn: Number of the turn.
         """
-        if self._book(member.listing.address).has_news:
+        if self._demand_table(member.listing.address).has_news:
             return True
         if not self._placement.is_heard(member, clock.boot_ms()):
             # It may have started after the last word, and knows neither this
             # gateway nor which start of its engine is listed.
             return True
-        return not turn % IDLE_TURNS
+        return not turn % IDLE_TURN_INTERVAL
 
-    def _book(self, address: str) -> demand_table.DemandTable:
-        return self._books.setdefault(address, demand_table.DemandTable())
+    def _demand_table(self, address: str) -> demand_table.DemandTable:
+        return self._demand_tables.setdefault(
+            address, demand_table.DemandTable()
+        )
 
     def _version(self, adapter: str) -> int:
         announced = self._placement.announced.get(adapter)
@@ -97,17 +99,17 @@
 
     def began(self, member: roster_lib.Member, adapter: str) -> None:
         """Counts a request that is sent to an engine."""
-        self._book(member.listing.address).began(adapter)
+        self._demand_table(member.listing.address).began(adapter)
 
     def ended(self, member: roster_lib.Member, adapter: str) -> None:
         """Counts a request that an engine has ended."""
-        idle = self._book(member.listing.address).ended(adapter)
+        is_idle = self._demand_table(member.listing.address).ended(adapter)
         view = self._placement.view_of(member)
-        if idle and view is not None and view.pending:
+        if is_idle and view is not None and view.pending:
             # Loads wait there for the place of an adapter that is not used.
-            self._hurry(member)
+            self._send_soon(member)
 
-    async def follow(
+    async def apply_choice(
         self, load_request: LoadRequest, choice: placement_lib.Choice
     ) -> None:
         """Applies what was chosen for a request.
@@ -120,7 +122,7 @@
         if choice.send is not None:
             self.drop(load_request)
             if member is not None:
-                self._copy(member, load_request.adapter)
+                self._request_copy(member, load_request.adapter)
             return
         if member is load_request.home:
             return
@@ -130,11 +132,11 @@
         load_request.home = member
         self._placement.wished(member, load_request.adapter)
         version = self._version(load_request.adapter)
-        first = self._book(member.listing.address).wait(
+        first = self._demand_table(member.listing.address).wait(
             load_request.adapter, version, load_request.due_at_ms
         )
         if not first:
-            self._hurry(member)
+            self._send_soon(member)
             return
         self._log.write(
             "load_wanted",
@@ -142,26 +144,26 @@
             version=version,
             target=member.listing.instance,
         )
-        await self._tell(member)
+        await self._send_demand(member)
 
     def drop(self, load_request: LoadRequest) -> None:
         """Drops the load request of a caller that no longer waits."""
         home, load_request.home = load_request.home, None
         if home is None:
             return
-        book = self._book(home.listing.address)
-        if book.waits_no_more(load_request.adapter, load_request.due_at_ms):
+        table = self._demand_table(home.listing.address)
+        if table.waits_no_more(load_request.adapter, load_request.due_at_ms):
             # Unheard, the load would be for nobody and keep a place from
             # those that wait.
-            self._hurry(home)
+            self._send_soon(home)
 
-    def _copy(self, member: roster_lib.Member, adapter: str) -> None:
+    def _request_copy(self, member: roster_lib.Member, adapter: str) -> None:
         self._placement.wished(member, adapter)
         version = self._version(adapter)
-        book = self._book(member.listing.address)
-        if not book.copy(adapter, version, clock.boot_ms()):
+        table = self._demand_table(member.listing.address)
+        if not table.copy(adapter, version, clock.boot_ms()):
             return
-        self._hurry(member)
+        self._send_soon(member)
         self._log.write(
             "copy_wanted",
             adapter=adapter,
@@ -169,7 +171,7 @@
             target=member.listing.instance,
         )
 
-    def introduce(self, member: roster_lib.Member) -> None:
+    def notify_new_incarnation(self, member: roster_lib.Member) -> None:
         """Has a new start of an engine told of at once.
 
         The process beside an engine that has just started learns from this
@@ -177,25 +179,28 @@
         next regular word, every engine would stand empty until then after a
         power cut.
         """
-        self._hurry(member)
+        self._send_soon(member)
 
-    def _hurry(self, member: roster_lib.Member) -> None:
+    def _send_soon(self, member: roster_lib.Member) -> None:
         """Has a word told soon, together with others of this moment."""
-        self._hurried[member.listing.instance] = member
-        self._hurry_event.set()
+        self._urgent[member.listing.instance] = member
+        self._urgent_event.set()
 
-    async def tell_hurried(self) -> None:
+    async def send_urgent(self) -> None:
         """Sends demands that cannot wait for the regular interval."""
         while True:
-            await self._hurry_event.wait()
-            await anyio.sleep(HURRY_MS / MS_PER_S)
-            self._hurry_event = anyio.Event()
-            hurried, self._hurried = self._hurried, {}
-            for member in hurried.values():
-                await self._tell(member)
+            await self._urgent_event.wait()
+            await anyio.sleep(URGENT_DELAY_MS / MS_PER_S)
+            self._urgent_event = anyio.Event()
+            urgent, self._urgent = self._urgent, {}
+            for member in urgent.values():
+                await self._send_demand(member)
 
     def forget(self, addresses: set[str]) -> None:
         """Drops what is known of engines that are gone, once it is settled."""
-        for address in list(self._books):
-            if address not in addresses and not self._books[address].busy:
-                del self._books[address]
+        for address in list(self._demand_tables):
+            if (
+                address not in addresses
+                and not self._demand_tables[address].busy
+            ):
+                del self._demand_tables[address]
--- a/packages/radishd/src/radishd/process/logs.py
+++ b/packages/radishd/src/radishd/process/logs.py
@@ -10,19 +10,19 @@
 _LOGGER = logging.getLogger("radishstack")
 
 
-def configure(level: str, **always: str) -> None:
+def configure(level: str, **constant_fields: str) -> None:
     """Sends JSON lines to standard error.
 
     Args:
         level: Lowest level that is logged.
-        **always: Fields of every line, for example ``name``.
+        **constant_fields: Fields of every line, for example ``name``.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         json_logger.JsonFormatter(
             "%(asctime)s %(levelname)s %(message)s",
             rename_fields={"asctime": "at", "levelname": "level"},
-            static_fields=always,
+            static_fields=constant_fields,
         )
     )
     root = logging.getLogger()
--- a/packages/radishd/src/radishd/process/pause_detector.py
+++ b/packages/radishd/src/radishd/process/pause_detector.py
@@ -9,24 +9,24 @@
 TICK_MS = 100
 # A tick this late means that the VM was frozen or suspended; a busy loop is
 # late by tens of milliseconds.
-STILL_MS = 700
+MIN_PAUSE_MS = 700
 MS_PER_S = 1_000
 
 
-async def watch(on_still: Callable[[int], None]) -> None:
+async def watch(on_pause: Callable[[int], None]) -> None:
     """Calls back after each standstill.
 
     What was believed before it is old: leases have passed, connections are
     closed, targets have gone.
 
     Args:
-        on_still: Given how long it was.
+        on_pause: Given how long it was.
     """
     before_ms = clock.boot_ms()
     while True:
         await anyio.sleep(TICK_MS / MS_PER_S)
         now_ms = clock.boot_ms()
         late_ms = now_ms - before_ms - TICK_MS
-        if late_ms > STILL_MS:
-            on_still(late_ms)
+        if late_ms > MIN_PAUSE_MS:
+            on_pause(late_ms)
         before_ms = now_ms
--- a/packages/radishd/src/radishd/process/rate_limits.py
+++ b/packages/radishd/src/radishd/process/rate_limits.py
@@ -22,7 +22,7 @@
 
 # Minimum Retry-After, and the jitter that is added to it.
 RETRY_MIN_MS = 100
-RETRY_SPREAD_MS = 600
+RETRY_JITTER_MS = 600
 # Maximum number of queued reports. If a report is dropped, the other gateways
 # learn the limit from responses.
 MAX_PENDING_REPORTS = 256
@@ -151,24 +151,24 @@
             member.listing.start, now_ms
         )
 
-    def book(self, member: roster_lib.Member) -> Booking | None:
+    def reserve(self, member: roster_lib.Member) -> Booking | None:
         """Books a request to a target, None if it may not be sent now."""
         return self._limits.book(member.listing.start, clock.boot_ms())
 
-    def is_booked(
-        self, booking: Booking | None, member: roster_lib.Member
+    def is_reserved(
+        self, reservation: Booking | None, member: roster_lib.Member
     ) -> bool:
         """Whether a booking is for a target and has not expired."""
         return (
-            booking is not None
-            and booking.start == member.listing.start
-            and self._limits.is_valid(booking, clock.boot_ms())
+            reservation is not None
+            and reservation.start == member.listing.start
+            and self._limits.is_valid(reservation, clock.boot_ms())
         )
 
-    def give_back(self, booking: Booking | None) -> None:
+    def release(self, reservation: Booking | None) -> None:
         """Gives back a booking whose request was not sent."""
-        if booking is not None:
-            self._limits.give_back(booking, clock.boot_ms())
+        if reservation is not None:
+            self._limits.give_back(reservation, clock.boot_ms())
 
     def rejection(
         self, service: str, members: Iterable[roster_lib.Member]
@@ -188,11 +188,11 @@
             default=0,
         )
         self._metrics.rate_limited.inc({"service": service})
-        spread_ms = round(self._random.uniform(0, RETRY_SPREAD_MS))
+        jitter_ms = round(self._random.uniform(0, RETRY_JITTER_MS))
         return result.Failure(
             result.TARGETS_RATE_LIMITED,
             f"all targets of {service} are at their rate limits",
-            max(RETRY_MIN_MS, wait_ms) + spread_ms,
+            max(RETRY_MIN_MS, wait_ms) + jitter_ms,
         )
 
     def report(self) -> dict[str, float]:
--- a/packages/radishd/src/radishd/process/settings.py
+++ b/packages/radishd/src/radishd/process/settings.py
@@ -260,8 +260,8 @@
     if settings.role is Role.ENTRY and settings.entry is None:
         return dataclasses.replace(settings, entry=EntrySettings())
     if getattr(settings, settings.role) is None:
-        mend = f"add the settings of the {settings.role} role"
-        return (checks.Problem(settings.role, "(missing)", mend),)
+        remedy = f"add the settings of the {settings.role} role"
+        return (checks.Problem(settings.role, "(missing)", remedy),)
     return settings
 
 
--- a/packages/radishd/src/radishd/process/signals.py
+++ b/packages/radishd/src/radishd/process/signals.py
@@ -15,7 +15,7 @@
 OnReload = Callable[[settings_lib.Settings], None]
 
 
-class Reloads:
+class ReloadHook:
     """Whom to tell when the settings file has been read again."""
 
     def __init__(self) -> None:
@@ -41,14 +41,14 @@
             stop.set()
 
 
-async def reload_on_signal(path: pathlib.Path, reloads: Reloads) -> None:
+async def reload_on_signal(path: pathlib.Path, reload_hook: ReloadHook) -> None:
     """Reads the settings again on each SIGHUP, which ends no process.
 
     Settings that cannot be used are logged, and those in force stay.
 
     Args:
         path: The settings file.
-        reloads: Whom to tell.
+        reload_hook: Whom to tell.
     """
     with anyio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
@@ -59,5 +59,5 @@
                 )
                 continue
             logs.info("reloaded", path=str(path))
-            if reloads.on_reload is not None:
-                reloads.on_reload(settings)
+            if reload_hook.on_reload is not None:
+                reload_hook.on_reload(settings)
--- a/packages/radishd/src/radishd/process/store.py
+++ b/packages/radishd/src/radishd/process/store.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stored:
+class StoredObject:
     """One object; revision 0 stands for one that does not exist."""
 
     value: bytes
@@ -54,7 +54,7 @@
     leaving: bool
 
 
-ABSENT = Stored(b"", 0)
+ABSENT = StoredObject(b"", 0)
 UNCHANGED = "unchanged"
 
 
@@ -110,7 +110,7 @@
 
     async def get(
         self, name: str, *, watch: int | None = None
-    ) -> result.Outcome[Stored | str]:
+    ) -> result.Outcome[StoredObject | str]:
         """Reads an object.
 
         Args:
@@ -129,7 +129,7 @@
         if isinstance(response, result.Failure):
             return response
         if response.status == OK:
-            return Stored(response.content, _revision(response))
+            return StoredObject(response.content, _revision(response))
         if response.status == NOT_FOUND:
             return ABSENT
         if response.status == NOT_MODIFIED:
@@ -226,7 +226,7 @@
         Revision and root, or ``UNCHANGED``.
     """
     stored = await store.get(commit_lib.ROOT_NAME, watch=watch)
-    if not isinstance(stored, Stored):
+    if not isinstance(stored, StoredObject):
         return stored
     if stored.revision == 0:
         return 0, commit_lib.EMPTY_ROOT
@@ -243,7 +243,7 @@
     stored = await store.get(name)
     if isinstance(stored, result.Failure):
         return stored
-    if not isinstance(stored, Stored) or stored.revision == 0:
+    if not isinstance(stored, StoredObject) or stored.revision == 0:
         return result.Failure(result.STORE_CORRUPT, f"{name} is missing")
     return commit_lib.decode_commit(stored.value)
 
@@ -257,7 +257,7 @@
         stored = await store.get(name)
         if isinstance(stored, result.Failure):
             return stored
-        if not isinstance(stored, Stored) or stored.revision == 0:
+        if not isinstance(stored, StoredObject) or stored.revision == 0:
             return result.Failure(result.STORE_CORRUPT, f"{name} is missing")
         parts.append(stored.value)
     return commit_lib.decode_snapshot(parts)
--- a/packages/radishd/src/radishd/process/supervise.py
+++ b/packages/radishd/src/radishd/process/supervise.py
@@ -10,11 +10,11 @@
 
 # Pause before a task that broke is begun anew, so that one that breaks at
 # once does not take the processor.
-RESTART_MS = 200
+RESTART_DELAY_MS = 200
 MS_PER_S = 1_000
 
 
-async def forever(
+async def run_forever(
     name: str, run: Callable[[], Awaitable[None]], metrics: metrics_lib.Metrics
 ) -> None:
     """Runs a task, and begins it anew whenever it breaks.
@@ -30,4 +30,4 @@
         except Exception:
             logs.exception("task_broke", task=name)
             metrics.broken.inc({"code": name})
-        await anyio.sleep(RESTART_MS / MS_PER_S)
+        await anyio.sleep(RESTART_DELAY_MS / MS_PER_S)
--- a/packages/radishd/src/radishd/process/usage_caps.py
+++ b/packages/radishd/src/radishd/process/usage_caps.py
@@ -25,8 +25,8 @@
 LOAN_WAIT_MS = 150
 # By how much the times differ at which several callers are told to return.
 RETRY_MIN_MS = 100
-RETRY_SPREAD_MS = 500
-FORGET_EVERY_MS = 5_000
+RETRY_JITTER_MS = 500
+EXPIRE_INTERVAL_MS = 5_000
 
 Send = Callable[[str, usage_loan.Message], Awaitable[None]]
 FindCap = Callable[[str], usage_cap.UsageCap | None]
@@ -64,11 +64,11 @@
         self._log = log
         self._metrics = metrics
         self._random = random_source
-        self._forgot_ms = clock.boot_ms()
+        self._expired_at_ms = clock.boot_ms()
         self._books = usage_books.UsageBooks(
-            rules, others, gateway_count, self._forgot_ms, random_source
+            rules, others, gateway_count, self._expired_at_ms, random_source
         )
-        self._answered: dict[str, anyio.Event] = {}
+        self._loan_events: dict[str, anyio.Event] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
@@ -100,39 +100,39 @@
         cap, name = account.cap, account.name
         cost = cap.cost(token_count)
         now_ms = clock.boot_ms()
-        booking = self._books.book(name, cap, cost, now_ms)
-        if booking is None:
-            booking = await self._borrow_and_book(name, cap, cost)
+        reservation = self._books.book(name, cap, cost, now_ms)
+        if reservation is None:
+            reservation = await self._borrow_and_reserve(name, cap, cost)
         elif self._books.wants_ahead(name, cap, now_ms):
-            await self._ask(name, 0.0)
-        if booking is not None:
-            return booking
+            await self._request_loans(name, 0.0)
+        if reservation is not None:
+            return reservation
         return self._reject(name, cap, cost)
 
-    def rebook(
-        self, booking: usage_books.Booking | None
+    def renew_reservation(
+        self, reservation: usage_books.Booking | None
     ) -> result.Outcome[usage_books.Booking | None]:
         """Books a request anew that waited too long since its booking."""
-        if booking is None:
+        if reservation is None:
             return None
         now_ms = clock.boot_ms()
-        age_ms = now_ms - booking.at_ms
-        if not booking.given_back and age_ms <= usage_loan.BOOKING_MS:
-            return booking
-        self._books.give_back(booking)
-        name = booking.account
+        age_ms = now_ms - reservation.at_ms
+        if not reservation.given_back and age_ms <= usage_loan.BOOKING_MS:
+            return reservation
+        self._books.give_back(reservation)
+        name = reservation.account
         cap = self._find_cap(name)
         if cap is None:
             return None
-        renewed = self._books.book(name, cap, booking.cost, now_ms)
-        return renewed or self._reject(name, cap, booking.cost)
+        renewed = self._books.book(name, cap, reservation.cost, now_ms)
+        return renewed or self._reject(name, cap, reservation.cost)
 
-    def give_back(self, booking: usage_books.Booking | None) -> None:
+    def release(self, reservation: usage_books.Booking | None) -> None:
         """Gives a booking back whose request provably did not run."""
-        if booking is not None:
-            self._books.give_back(booking)
+        if reservation is not None:
+            self._books.give_back(reservation)
 
-    async def _borrow_and_book(
+    async def _borrow_and_reserve(
         self, name: str, cap: usage_cap.UsageCap, cost: float
     ) -> usage_books.Booking | None:
         until_ms = clock.boot_ms() + LOAN_WAIT_MS
@@ -140,36 +140,40 @@
             now_ms = clock.boot_ms()
             if self._books.is_shut(name, now_ms) or now_ms >= until_ms:
                 return None
-            event = self._answered.setdefault(name, anyio.Event())
-            await self._ask(name, self._books.missing(name, cap, cost, now_ms))
+            event = self._loan_events.setdefault(name, anyio.Event())
+            await self._request_loans(
+                name, self._books.missing(name, cap, cost, now_ms)
+            )
             if self._books.is_shut(name, now_ms):
                 return None
             pause_ms = min(usage_books.ANSWER_MS, until_ms - now_ms)
             with anyio.move_on_after(pause_ms / MS_PER_S):
                 await event.wait()
-            booking = self._books.book(name, cap, cost, clock.boot_ms())
-            if booking is not None:
-                return booking
-
-    async def _ask(self, name: str, need: float) -> None:
-        for lender, ask in self._books.ask(name, need, clock.boot_ms()):
+            reservation = self._books.book(name, cap, cost, clock.boot_ms())
+            if reservation is not None:
+                return reservation
+
+    async def _request_loans(self, name: str, need: float) -> None:
+        for lender, loan_request in self._books.ask(
+            name, need, clock.boot_ms()
+        ):
             self._metrics.usage_loans.inc({"side": "asked"})
-            await self._send(lender, ask)
+            await self._send(lender, loan_request)
 
     def _reject(
         self, name: str, cap: usage_cap.UsageCap, cost: float
     ) -> result.Failure:
         self._metrics.usage_refused.inc({})
-        room_ms = max(
+        wait_ms = max(
             RETRY_MIN_MS,
             self._books.room_after_ms(name, cap, cost, clock.boot_ms()),
         )
-        spread_ms = round(self._random.uniform(0, RETRY_SPREAD_MS))
+        jitter_ms = round(self._random.uniform(0, RETRY_JITTER_MS))
         return result.Failure(
             result.USAGE_CAP_REACHED,
             f"account {name} has no room for {cost:g} {cap.unit}s, more in "
-            f"{room_ms} ms ({self._gateway_count()} gateways)",
-            room_ms + spread_ms,
+            f"{wait_ms} ms ({self._gateway_count()} gateways)",
+            wait_ms + jitter_ms,
         )
 
     def handle(self, message: usage_loan.Message, sender: str) -> None:
@@ -186,7 +190,7 @@
                 self._tasks.start_soon(self._send, sender, loan)
             return
         self._books.on_loan(message, now_ms)
-        event = self._answered.pop(message.account, None)
+        event = self._loan_events.pop(message.account, None)
         if event is not None:
             event.set()
 
@@ -197,7 +201,7 @@
     def sweep(self) -> None:
         """Drops what was not used for long, now and then."""
         now_ms = clock.boot_ms()
-        if now_ms - self._forgot_ms < FORGET_EVERY_MS:
+        if now_ms - self._expired_at_ms < EXPIRE_INTERVAL_MS:
             return
-        self._forgot_ms = now_ms
+        self._expired_at_ms = now_ms
         self._books.forget(now_ms)
--- a/packages/radishd/src/radishd/process/web.py
+++ b/packages/radishd/src/radishd/process/web.py
@@ -17,14 +17,14 @@
 
 START_POLL_S = 0.005
 # The date header of answers is exact to the second.
-DATE_EVERY_S = 1.0
+DATE_REFRESH_S = 1.0
 MS_PER_S = 1_000
 
 
 class Server(uvicorn.Server):
     """A server that leaves signals to the process and does not exit it."""
 
-    _exit_asked: anyio.Event | None = None
+    _exit_requested: anyio.Event | None = None
     _should_exit = False
 
     @property
@@ -35,8 +35,8 @@
     @should_exit.setter
     def should_exit(self, value: bool) -> None:
         self._should_exit = value
-        if value and self._exit_asked is not None:
-            self._exit_asked.set()
+        if value and self._exit_requested is not None:
+            self._exit_requested.set()
 
     async def serve(self, sockets: Any = None) -> None:
         """Serves until ``should_exit`` is set."""
@@ -48,10 +48,10 @@
         The library looks ten times a second whether it is to end; the four
         servers of a gateway would wake an idle process forty times a second.
         """
-        self._exit_asked = anyio.Event()
+        self._exit_requested = anyio.Event()
         while not await self.on_tick(0):
-            with anyio.move_on_after(DATE_EVERY_S):
-                await self._exit_asked.wait()
+            with anyio.move_on_after(DATE_REFRESH_S):
+                await self._exit_requested.wait()
 
 
 TARGET = "radishstack.target"
@@ -83,21 +83,21 @@
     body that are checked before it.
     """
 
-    _has_whole_head = False
+    _headers_complete = False
 
     def on_message_begin(self) -> None:
         """Begins a request."""
-        self._has_whole_head = False
+        self._headers_complete = False
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
         """Ends the head of a request."""
-        self._has_whole_head = True
+        self._headers_complete = True
         super().on_headers_complete()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes a header; a trailer is dropped."""
-        if not self._has_whole_head:
+        if not self._headers_complete:
             super().on_header(name, value)
 
     def on_url(self, url: bytes) -> None:
@@ -149,13 +149,13 @@
         task_status: Told once it listens.
     """
 
-    async def tell() -> None:
+    async def report_started() -> None:
         while not server.started:
             await anyio.sleep(START_POLL_S)
         task_status.started()
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(tell)
+        tasks.start_soon(report_started)
         try:
             await server.serve()
         finally:
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -151,11 +151,11 @@
         """Gives back the bookings of a request that was not sent."""
         self._release_rate_booking()
         if not self.sent:
-            self.gateway.usage_caps.give_back(self._booking)
+            self.gateway.usage_caps.release(self._booking)
 
     def _release_rate_booking(self) -> None:
         booking, self._rate_booking = self._rate_booking, None
-        self.gateway.rate_limits.give_back(booking)
+        self.gateway.rate_limits.release(booking)
 
     def left_ms(self) -> int:
         """Returns how long the caller still waits."""
@@ -182,7 +182,7 @@
                 await self._give_up(placed)
                 return
             member, version = placed
-            booking = self.gateway.usage_caps.rebook(self._booking)
+            booking = self.gateway.usage_caps.renew_reservation(self._booking)
             if isinstance(booking, result.Failure):
                 await self._give_up(booking)
                 return
@@ -207,7 +207,7 @@
         gateway = self.gateway
         gateway.evidence.record_outcome(member, outcome, self.request.adapter)
         if outcome in _NOT_RUN:
-            gateway.usage_caps.give_back(self._booking)
+            gateway.usage_caps.release(self._booking)
         if outcome in _BROKEN_OFF:
             gateway.evidence.record_aborted_response(
                 member, self.fingerprint(), self.sent_at_ms
@@ -301,7 +301,7 @@
         below_limit = [
             member
             for member in limited
-            if limits.is_booked(self._rate_booking, member)
+            if limits.is_reserved(self._rate_booking, member)
             or limits.may_send(member, now_ms)
         ]
         unlimited = [one for one in allowed if one not in limited]
@@ -319,10 +319,10 @@
     def _book_rate(self, member: roster_lib.Member) -> bool:
         """Books a send against a target's rate limit; returns success."""
         limits = self.gateway.rate_limits
-        if limits.is_booked(self._rate_booking, member):
+        if limits.is_reserved(self._rate_booking, member):
             return True
         self._release_rate_booking()
-        self._rate_booking = limits.book(member)
+        self._rate_booking = limits.reserve(member)
         return self._rate_booking is not None
 
     async def _place_adapter(
@@ -357,7 +357,7 @@
                     # Booked before the load, because a load at a limited target
                     # only helps a request that may be sent there.
                     self._book_rate(member)
-                await gateway.load_requests.follow(load_request, choice)
+                await gateway.load_requests.apply_choice(load_request, choice)
                 # A stream that has started cannot be rejected any more, so it
                 # waits for a rate-limited target.
                 any_usable = bool(usable) or (
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -271,7 +271,7 @@
     settings: settings_lib.Settings,
     *,
     stop: anyio.Event,
-    reloads: signals.Reloads,
+    reloads: signals.ReloadHook,
     task_status: anyio.abc.TaskStatus[Sidecar] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Runs the process until it is told to stop.
@@ -300,7 +300,7 @@
             ),
         }
         for name, job in jobs.items():
-            tasks.start_soon(supervise.forever, name, job, metrics)
+            tasks.start_soon(supervise.run_forever, name, job, metrics)
         app = admin.make_app(
             metrics,
             ready=sidecar.ready,
--- a/packages/radishd/src/radishd/sidecar_exchange.py
+++ b/packages/radishd/src/radishd/sidecar_exchange.py
@@ -91,7 +91,7 @@
         if spec is None or self._socket is None or member.gone:
             return
         listing = member.listing
-        uses, wants = self.load_requests.take(listing.address)
+        uses, wants = self.load_requests.collect(listing.address)
         demand = adapter_keeper.Demand(
             gateway=self._name,
             instance=listing.instance,
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -28,12 +28,12 @@
 from radishd.process import admin
 from radishd.process import clock
 from radishd.process import configuration as configuration_lib
+from radishd.process import configuration_gossip as configuration_gossip_lib
 from radishd.process import control as control_lib
 from radishd.process import engine as engine_lib
 from radishd.process import logs
 from radishd.process import metrics as metrics_lib
 from radishd.process import settings as settings_lib
-from radishd.process import spread as spread_lib
 from radishd.process import store as store_lib
 from radishd.process import web
 from radishd.request import engine_call
@@ -113,7 +113,9 @@
         self.kept_bytes = 0
         self._busy = anyio.Event()
         self._look_now = anyio.Event()
-        self.spread: spread_lib.Spread | None = None
+        self.configuration_gossip: (
+            configuration_gossip_lib.ConfigurationGossip | None
+        ) = None
         self.seals: dict[int, tuple[Any, int]] = {}
         self.configuration.listen(self._version_raised)
 
@@ -372,7 +374,7 @@
         Returns:
             The incarnation, empty if it is otherwise or not known.
         """
-        seen = await self.engine.look()
+        seen = await self.engine.get_state()
         if isinstance(seen, result.Failure):
             return ""
         as_hoped = (adapter in seen.resident) == resident
@@ -435,7 +437,7 @@
         misses = 0
         while True:
             asked_at_ms = clock.now_ms()
-            seen = await self.engine.look()
+            seen = await self.engine.get_state()
             if isinstance(seen, result.Failure):
                 misses += 1
                 if misses == LOOKS_BEFORE_LOST:
@@ -503,7 +505,10 @@
         """
         revision: int | None = None
         while True:
-            if self.spread is not None and not self.spread.watches():
+            if (
+                self.configuration_gossip is not None
+                and not self.configuration_gossip.watches()
+            ):
                 await anyio.sleep(LEAVE_LIST_MS / MS_PER_S)
                 continue
             listed = await self.store.list_vms(watch=revision)
@@ -516,8 +521,8 @@
             revision, vms = listed
             leaving = tuple(sorted(vm.name for vm in vms if vm.leaving))
             self.leaving_heard(frozenset(leaving))
-            if self.spread is not None:
-                self.spread.tell_leaving(leaving)
+            if self.configuration_gossip is not None:
+                self.configuration_gossip.announce_leaving(leaving)
 
     def ready(self) -> str:
         """Returns why the process is not ready, empty if it is."""
@@ -610,29 +615,29 @@
             metrics=metrics,
             random_source=random_source or random.Random(),
         )
-        control = await control_lib.open_control(own.listen, metrics)
+        control = await control_lib.open_control_socket(own.listen, metrics)
         control.on_probe = lambda probe: process.load(probe.adapter)
-        spread = spread_lib.Spread(
+        configuration_gossip = configuration_gossip_lib.ConfigurationGossip(
             settings,
             own.listen,
             control,
             process.configuration,
             random_source or random.Random(),
         )
-        spread.on_leaving = process.leaving_heard
-        process.spread = spread
+        configuration_gossip.on_leaving = process.leaving_heard
+        process.configuration_gossip = configuration_gossip
         tasks.start_soon(control.run)
         tasks.start_soon(
             configuration_lib.follow,
             process.configuration,
             process.store,
             random.Random(),
-            spread.watches,
+            configuration_gossip.watches,
         )
         tasks.start_soon(
             transfer.seed, process.configuration, process.links, settings.seeds
         )
-        tasks.start_soon(spread.run)
+        tasks.start_soon(configuration_gossip.run)
         tasks.start_soon(process.tick)
         tasks.start_soon(process.watch_vms)
         if own.kind is checks.TargetKind.ENGINE:
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -78,15 +78,15 @@
     ),
     Mutant(
         _RESTORED_PROMISE,
-        "radishd/process/knowledge.py",
+        "radishd/process/discovery.py",
         "        self._roster.begin_grace(clock.boot_ms())\n",
         "",
         _test("fleet.test_store_restored"),
     ),
     Mutant(
         _RESTORED_PROMISE,
-        "radishd/process/knowledge.py",
-        "                    era=told_position.era,\n",
+        "radishd/process/discovery.py",
+        "                    era=peer_position.era,\n",
         "",
         _test("fleet.test_store_restored"),
     ),
@@ -212,7 +212,7 @@
     Mutant(
         "what did not run is given back",
         "radishd/request/forward.py",
-        "            gateway.usage_caps.give_back(self._booking)\n",
+        "            gateway.usage_caps.release(self._booking)\n",
         "            pass\n",
         _test("fleet.test_usage_caps"),
     ),
@@ -242,7 +242,7 @@
     Mutant(
         "only a known key is served",
         "radishd/process/web.py",
-        "        if not self._has_whole_head:\n",
+        "        if not self._headers_complete:\n",
         "        if True:\n",
         _test("fleet.test_accounts"),
     ),
@@ -605,21 +605,21 @@
     ),
     Mutant(
         "the store's return is noticed by all watches",
-        "radishd/process/knowledge.py",
-        "        if not absence.failed or absence.away_ms < HANGING_AFTER_MS:",
+        "radishd/process/discovery.py",
+        "        if not absence.failed or absence.away_ms < RENEW_AFTER_MS:",
         "        if True:",
         _test("fleet.test_store_outage"),
     ),
     Mutant(
         "old news never wins",
-        "radishd/process/knowledge.py",
-        "            if record.position > seen_position:",
+        "radishd/process/discovery.py",
+        "            if record.position > known_position:",
         "            if True:",
         _test("fleet.test_store_outage"),
     ),
     Mutant(
         "old news never wins",
-        "radishd/process/knowledge.py",
+        "radishd/process/discovery.py",
         "            and not self._roster.is_in_doubt(clock.boot_ms())",
         "            and True",
         _test("fleet.test_store_outage"),
@@ -690,7 +690,7 @@
     ),
     Mutant(
         "foreign entries are not used",
-        "radishd/process/knowledge.py",
+        "radishd/process/discovery.py",
         "        if self._roster.drop(record.name):",
         "        if False:",
         _test("fleet.test_foreign_entries"),
@@ -786,7 +786,7 @@
         "radishd/process/notifier.py",
         "        for event in self._waiting.get(adapter, ()):",
         "        for event in ():",
-        _test("fleet.test_wishes"),
+        _test("fleet.test_load_requests"),
     ),
     Mutant(
         "what ends targets is refused",
@@ -805,7 +805,7 @@
     Mutant(
         "what ends targets is refused",
         "radishd/process/crash_gossip.py",
-        "        self._tell_soon(records)\n",
+        "        self._report_soon(records)\n",
         "",
         _test("fleet.test_crashes"),
     ),
@@ -854,8 +854,8 @@
     Mutant(
         "nobody else is refused",
         "radishd/process/crash_gossip.py",
-        "                await self._tell((address,), cleared)\n",
-        "                del address, cleared\n",
+        "                await self._send_records((address,), missed)\n",
+        "                del address, missed\n",
         _test("fleet.test_crashes"),
     ),
     Mutant(
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -71,17 +71,17 @@
     ),
     mutants.Mutant(
         "a change takes effect and stays",
-        "radishd/process/knowledge.py",
-        "CONFIGURATION_GATHER_PART = 0.2",
-        "CONFIGURATION_GATHER_PART = 10.0",
+        "radishd/process/discovery.py",
+        "CONFIGURATION_COALESCE_FRACTION = 0.2",
+        "CONFIGURATION_COALESCE_FRACTION = 10.0",
         _seeds(360, Kind.CONFIGURATION),
     ),
     mutants.Mutant(
         "served again after all faults",
-        "radishd/process/knowledge.py",
+        "radishd/process/discovery.py",
         "            else:\n"
         "                known[record.name] = record\n"
-        "            self._take(record)",
+        "            self._apply(record)",
         "            else:\n                known[record.name] = record",
         _seeds(370, Kind.TARGET_RESTART),
     ),
--- a/tests/fleet/fixtures.py
+++ b/tests/fleet/fixtures.py
@@ -156,7 +156,7 @@
                 sidecar_lib.run,
                 settings,
                 stop=anyio.Event(),
-                reloads=signals.Reloads(),
+                reloads=signals.ReloadHook(),
             )
         )
         return sidecar
@@ -217,7 +217,7 @@
             await gateway_lib.run(
                 settings,
                 stop=self.stop,
-                reloads=signals.Reloads(),
+                reloads=signals.ReloadHook(),
                 task_status=task_status,
             )
             stopped.set()
--- a/tests/fleet/test_accounts.py
+++ b/tests/fleet/test_accounts.py
@@ -314,7 +314,7 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
             written: list[bytes] = []
-            fleet.gateway.log._push = written.append
+            fleet.gateway.log._enqueue = written.append
             await _put(fleet, _configuration())
             await fleet.call("/look/1", Authorization=BEARER)
             await fleet.call("/look/1", Authorization=f"Bearer {KEY} {KEY}")
@@ -322,7 +322,7 @@
             own = gateway.settings.gateway
             told = [
                 b"".join(written).decode(),
-                json.dumps(gateway.knowledge.tell()),
+                json.dumps(gateway.discovery.export_objects()),
                 json.dumps(gateway.status(), default=str),
                 str(gateway.table),
                 str(_decode((b"authorization", BEARER.encode()))),
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -276,7 +276,7 @@
             )
             record = crash_evidence.Record("07" * 16, observations)
             for gateway in (knows, missed):
-                gateway.crash_gossip.take([record], source="test")
+                gateway.crash_gossip.merge([record], source="test")
             knows.crash_gossip.evidence.ended_well("07" * 16, now_ms)
             assert missed.crash_gossip.quarantine("07" * 16) is not None
             await fleet.until(
@@ -316,7 +316,7 @@
             )
             record = crash_evidence.Record(fingerprint, observations)
             for gateway in gateways:
-                gateway.crash_gossip.take([record], source="test")
+                gateway.crash_gossip.merge([record], source="test")
             slow = {target: target.timing for target in fleet.targets.values()}
             for target in slow:
                 target.timing = platform_engine.Timing(work_ms=200.0)
@@ -333,7 +333,7 @@
             statuses = sorted(one.status for one in answers)
             assert statuses == [200, *5 * [503]], answers
             await fleet.until(
-                lambda: not any(one.crash_gossip.is_trying for one in gateways),
+                lambda: not any(one.crash_gossip.has_trial for one in gateways),
                 "the trial has ended",
             )
             await fleet.until(
--- a/tests/fleet/test_decision_log.py
+++ b/tests/fleet/test_decision_log.py
@@ -7,7 +7,7 @@
 from radishd.process import decision_log
 
 
-def test_a_reader_that_stands_still_does_not_block_the_writer() -> None:
+def test_a_stalled_reader_does_not_block_the_writer() -> None:
     """Symptom: all requests hang while somebody pages through the logs.
 
     Sequence: the reader of standard output stops reading; the pipe fills.
@@ -28,15 +28,15 @@
         os.close(write_fd)
 
 
-def test_a_flood_of_decisions_is_cut_to_the_rate_and_counted() -> None:
+def test_lines_over_the_rate_limit_are_dropped_and_counted() -> None:
     """The next line that is written tells how many are missing."""
     read_fd, write_fd = os.pipe()
     try:
         log = decision_log.DecisionLog(write_fd, vm="edge-1")
-        for number in range(10 * round(decision_log.BURST)):
+        for number in range(10 * round(decision_log.BURST_LINES)):
             log.write("request", request=str(number))
         dropped = log.dropped
-        assert dropped >= 8 * decision_log.BURST
+        assert dropped >= 8 * decision_log.BURST_LINES
         log.must("stop")
         last = json.loads(os.read(read_fd, 1_000_000).splitlines()[-1])
         assert last["event"] == "stop" and last["dropped_lines"] == dropped
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -237,7 +237,7 @@
             listed = dict(fleet.store.objects["servers"])
             fleet.store.faults.refuses = True
             fleet.store.compact()
-            follower = gateway.knowledge.followers["servers"]
+            follower = gateway.discovery.followers["servers"]
             follower.restart()
             await fleet.until(
                 lambda: bool(follower.failing_since_ms), "the store is lost"
@@ -370,9 +370,9 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
             gateway = fleet.gateway
-            targets = gateway.knowledge.followers["servers"]
+            targets = gateway.discovery.followers["servers"]
             others = [
-                gateway.knowledge.followers[kind]
+                gateway.discovery.followers[kind]
                 for kind in ("config", "versions")
             ]
             assert all(one.revision for one in others)
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -131,7 +131,7 @@
             return await super().on_tick(counter)
 
     async def play() -> None:
-        every_s, web.DATE_EVERY_S = web.DATE_EVERY_S, 3_600.0
+        every_s, web.DATE_REFRESH_S = web.DATE_REFRESH_S, 3_600.0
         config = web.make_server(app, "127.0.0.1", 0).config
         server = Counted(config)
         try:
@@ -145,7 +145,7 @@
                 # The end is taken at once, though no tick is due.
                 server.should_exit = True
         finally:
-            web.DATE_EVERY_S = every_s
+            web.DATE_REFRESH_S = every_s
         assert ticks == 2, ticks
 
     fixtures.run(play)
--- a/tests/fleet/test_foreign_entries.py
+++ b/tests/fleet/test_foreign_entries.py
@@ -88,7 +88,7 @@
 
 
 async def _has_read_all(fleet: fixtures.Fleet) -> None:
-    follower = fleet.gateway.knowledge.followers[TARGETS]
+    follower = fleet.gateway.discovery.followers[TARGETS]
     await fleet.until(
         lambda: (
             not follower.failing_since_ms
@@ -175,7 +175,7 @@
             # Read by a watch, then by a list.
             await _has_read_all(fleet)
             assert _usable(fleet) == {"i-plain0", "i-plain9"}
-            for follower in gateway.knowledge.followers.values():
+            for follower in gateway.discovery.followers.values():
                 follower.restart()
             fleet.store.put(TARGETS, "i-plain9", spec | {"address": other})
             await _has_read_all(fleet)
--- a/tests/fleet/test_wishes.py
+++ b/tests/fleet/test_load_requests.py
@@ -26,7 +26,7 @@
     del member
 
 
-def test_an_engine_that_is_not_heard_is_told_every_time() -> None:
+def test_demand_is_sent_every_turn_without_status_updates() -> None:
     """Symptom: after a restart of all VMs nothing is loaded for a second.
 
     Sequence: a gateway starts first, its first word meets a process beside
@@ -41,11 +41,11 @@
     assert all(load_requests.is_due(member, turn) for turn in turns)
     view = placement_lib.View("i1", clock.boot_ms(), 0, 0, {}, frozenset())
     placement.hear(member.listing.address, view)
-    told = [turn for turn in turns if load_requests.is_due(member, turn)]
-    assert told == [0, 3], told
+    sent = [turn for turn in turns if load_requests.is_due(member, turn)]
+    assert sent == [0, 3], sent
 
 
-def test_an_engine_in_use_is_told_every_time() -> None:
+def test_demand_is_sent_every_turn_to_an_engine_in_use() -> None:
     """Its process believes a word on uses for two seconds only."""
     placement = placement_lib.Placement(random.Random(1), "north")
     load_requests = load_requests_lib.LoadRequests(placement, _Log(), _tell)
@@ -56,7 +56,7 @@
     assert all(load_requests.is_due(member, turn) for turn in range(6))
 
 
-def test_only_requests_for_an_adapter_that_came_are_woken() -> None:
+def test_only_requests_for_the_loaded_adapter_are_woken() -> None:
     """Symptom: two fifths of a gateway's time go to choosing again in vain.
 
     Sequence: forty words a second change what is believed of residency while
--- a/tests/fleet/test_adapter_folder.py
+++ b/tests/fleet/test_platform_folder.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_no_module_outside_the_folder_knows_the_platforms_names() -> None:
+def test_platform_names_occur_only_in_the_platform_folder() -> None:
     """Stand-ins speak for the platform, so they may."""
     found = []
     for path in PACKAGES.rglob("*.py"):
@@ -28,7 +28,7 @@
     assert not found, "\n".join(found)
 
 
-def test_the_folder_stays_small() -> None:
+def test_the_platform_folder_stays_small() -> None:
     """It translates; what decides belongs outside."""
     lines = sum(
         len(path.read_text().splitlines()) for path in FOLDER.glob("*.py")
--- a/tests/fleet/test_starts.py
+++ b/tests/fleet/test_starts.py
@@ -295,7 +295,7 @@
             fleet.store.put(TARGETS, NAME, stale | {"slots": 9})
             await fleet.until(
                 lambda: (
-                    gateway.knowledge.followers[TARGETS].revision
+                    gateway.discovery.followers[TARGETS].revision
                     >= fleet.store.revision
                 ),
                 "the entry was read",
--- a/tests/fleet/test_store_outage.py
+++ b/tests/fleet/test_store_outage.py
@@ -6,7 +6,7 @@
 from radishd import gateway as gateway_lib
 from radishd.platform import wire
 from radishd.process import clock
-from radishd.process import knowledge as knowledge_lib
+from radishd.process import discovery as discovery_lib
 from standins import platform_site
 
 from tests.fleet import fixtures
@@ -33,7 +33,7 @@
 async def _has_read_all(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> None:
-    follower = gateway.knowledge.followers[TARGETS]
+    follower = gateway.discovery.followers[TARGETS]
     await fleet.until(
         lambda: (
             not follower.failing_since_ms
@@ -43,27 +43,27 @@
     )
 
 
-async def _lose_store(
+async def _start_outage(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> None:
     fleet.store.faults.refuses = True
-    await _notice_outage(fleet, gateway)
+    await _wait_for_outage(fleet, gateway)
 
 
-async def _notice_outage(
+async def _wait_for_outage(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> None:
-    follower = gateway.knowledge.followers[TARGETS]
+    follower = gateway.discovery.followers[TARGETS]
     follower.restart()
     await fleet.until(
         lambda: bool(follower.failing_since_ms), "the store is lost"
     )
 
 
-async def _lapse_in_an_outage(fleet: fixtures.Fleet) -> dict[str, Any]:
+async def _expire_entries_in_outage(fleet: fixtures.Fleet) -> dict[str, Any]:
     """Loses the store, lets all entries lapse in it, and brings it back."""
     specs = _specs(fleet)
-    await _lose_store(fleet, fleet.gateway)
+    await _start_outage(fleet, fleet.gateway)
     for name in specs:
         fleet.store.delete(TARGETS, name)
     fleet.store.faults.refuses = False
@@ -71,7 +71,7 @@
     return specs
 
 
-def test_a_target_that_leaves_after_an_outage_gets_no_more_work() -> None:
+def test_a_target_leaving_after_an_outage_gets_no_requests() -> None:
     """Requests reached a target 2,033 ms after it had left; 2,000 are allowed.
 
     The store was away for eight seconds and all entries lapsed. It came back,
@@ -84,15 +84,15 @@
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
-            specs = await _lapse_in_an_outage(fleet)
+            specs = await _expire_entries_in_outage(fleet)
             assert _usable(fleet.gateway) == set(specs)
             for name, spec in specs.items():
                 fleet.store.put(TARGETS, name, spec)
             await _has_read_all(fleet, fleet.gateway)
-            leaves, stays = sorted(specs)
-            fleet.store.delete(TARGETS, leaves)
+            leaving, remaining = sorted(specs)
+            fleet.store.delete(TARGETS, leaving)
             await _has_read_all(fleet, fleet.gateway)
-            assert _usable(fleet.gateway) == {stays}
+            assert _usable(fleet.gateway) == {remaining}
 
     fixtures.run(play)
 
@@ -107,11 +107,11 @@
     """
 
     async def play() -> None:
-        usual_wait_ms = knowledge_lib.TARGETS_WAIT_MS
-        knowledge_lib.TARGETS_WAIT_MS = 3_600_000
+        original_watch_ms = discovery_lib.TARGETS_WATCH_MS
+        discovery_lib.TARGETS_WATCH_MS = 3_600_000
         try:
             async with fixtures.running_fleet(engines=0, plain=2) as fleet:
-                followers = fleet.gateway.knowledge.followers
+                followers = fleet.gateway.discovery.followers
                 fleet.store.faults.silent = True
                 # Wakes the watch of the targets, which then hangs.
                 name, spec = next(iter(_specs(fleet).items()))
@@ -126,12 +126,12 @@
                 fleet.store.faults.silent = False
                 await _has_read_all(fleet, fleet.gateway)
         finally:
-            knowledge_lib.TARGETS_WAIT_MS = usual_wait_ms
+            discovery_lib.TARGETS_WATCH_MS = original_watch_ms
 
     fixtures.run(play)
 
 
-def test_a_watch_that_is_cut_off_hides_no_target_that_leaves() -> None:
+def test_a_cut_watch_does_not_delay_the_removal_of_a_target() -> None:
     """A target that leaves is used for 2.5 s more, with no outage at all.
 
     The store breaks off one waiting call, as it may at any time, and answers
@@ -146,15 +146,15 @@
             fleet.store.cut_watches()
             await fleet.until(lambda: _has_failed_calls(gateway), "it is cut")
             await _has_read_all(fleet, gateway)
-            leaves, stays = sorted(_specs(fleet))
-            fleet.store.delete(TARGETS, leaves)
+            leaving, remaining = sorted(_specs(fleet))
+            fleet.store.delete(TARGETS, leaving)
             await _has_read_all(fleet, gateway)
-            assert _usable(gateway) == {stays}
+            assert _usable(gateway) == {remaining}
 
     fixtures.run(play)
 
 
-def test_an_older_view_of_a_peer_brings_no_leaving_target_back() -> None:
+def test_an_older_peer_view_does_not_restore_a_leaving_target() -> None:
     """A gateway that knew that a target leaves sends to it again.
 
     It loses the store and asks a peer, whose view is from before the target
@@ -165,21 +165,23 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=3) as fleet:
             gateway = fleet.gateway
-            older = json.loads(json.dumps(gateway.knowledge.tell()))
-            leaves, ended, stays = sorted(_specs(fleet))
-            spec = _specs(fleet)[leaves] | {"state": "draining"}
-            fleet.store.put(TARGETS, leaves, spec)
-            fleet.store.delete(TARGETS, ended)
+            older_objects = json.loads(
+                json.dumps(gateway.discovery.export_objects())
+            )
+            leaving, removed, remaining = sorted(_specs(fleet))
+            spec = _specs(fleet)[leaving] | {"state": "draining"}
+            fleet.store.put(TARGETS, leaving, spec)
+            fleet.store.delete(TARGETS, removed)
             await _has_read_all(fleet, gateway)
-            assert _usable(gateway) == {stays}
-            await _lose_store(fleet, gateway)
-            gateway.knowledge.take_known(older)
-            assert _usable(gateway) == {stays}
+            assert _usable(gateway) == {remaining}
+            await _start_outage(fleet, gateway)
+            gateway.discovery.apply_peer_objects(older_objects)
+            assert _usable(gateway) == {remaining}
 
     fixtures.run(play)
 
 
-def test_a_peer_that_doubts_a_lapse_does_not_spread_it() -> None:
+def test_a_peer_in_its_grace_period_does_not_remove_targets_elsewhere() -> None:
     """A gateway has no target left while its peer still uses all of them.
 
     After an outage the peer hears from the store first: its list is empty, as
@@ -190,21 +192,23 @@
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
-            road = await fleet.add_store_road()
+            store_faults = await fleet.add_store_road()
             second = await fleet.add_gateway(store_host=fleet.store_road)
             await _has_read_all(fleet, second)
-            road.refuses = True
-            await _notice_outage(fleet, second)
-            specs = await _lapse_in_an_outage(fleet)
+            store_faults.refuses = True
+            await _wait_for_outage(fleet, second)
+            specs = await _expire_entries_in_outage(fleet)
             assert _usable(fleet.gateway) == set(specs)
-            told = json.loads(json.dumps(fleet.gateway.knowledge.tell()))
-            second.knowledge.take_known(told)
+            objects = json.loads(
+                json.dumps(fleet.gateway.discovery.export_objects())
+            )
+            second.discovery.apply_peer_objects(objects)
             assert _usable(second) == set(specs)
 
     fixtures.run(play)
 
 
-def test_a_watch_that_is_answered_late_tells_of_an_outage() -> None:
+def test_a_late_watch_answer_counts_as_an_outage() -> None:
     """All targets are dropped at once although they live.
 
     The store stands still for 2.5 s. Entries lapse, and the watch that was
@@ -219,7 +223,7 @@
             fleet.store.faults.holds = True
             held_since_ms = clock.boot_ms()
             # Longer than a watch waits and its answer takes.
-            enough_ms = knowledge_lib.TARGETS_WAIT_MS + 1_000
+            enough_ms = discovery_lib.TARGETS_WATCH_MS + 1_000
             await fleet.until(
                 lambda: clock.boot_ms() > held_since_ms + enough_ms,
                 "the store stands still",
@@ -233,7 +237,7 @@
     fixtures.run(play)
 
 
-def test_a_gateway_that_starts_in_an_outage_keeps_what_it_was_told() -> None:
+def test_a_gateway_started_in_an_outage_keeps_targets_from_a_peer() -> None:
     """A gateway that was replaced in an outage refuses everything after it.
 
     It has never read the list and uses the targets that a peer told. The store
@@ -244,9 +248,9 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             specs = _specs(fleet)
-            road = await fleet.add_store_road()
-            road.refuses = True
-            await _lose_store(fleet, fleet.gateway)
+            store_faults = await fleet.add_store_road()
+            store_faults.refuses = True
+            await _start_outage(fleet, fleet.gateway)
             second = await fleet.add_gateway(
                 seeds=(fleet.gateway.own.peers,), store_host=fleet.store_road
             )
@@ -256,7 +260,7 @@
             for name in specs:
                 fleet.store.delete(TARGETS, name)
             fleet.store.faults.refuses = False
-            road.refuses = False
+            store_faults.refuses = False
             await _has_read_all(fleet, second)
             assert _usable(second) == set(specs)
 
--- a/tests/fleet/test_store_restored.py
+++ b/tests/fleet/test_store_restored.py
@@ -42,7 +42,7 @@
     revision = fleet.store.revision
     await fleet.until(
         lambda: (
-            (known := gateway.knowledge.known[TARGETS].get("i-marker"))
+            (known := gateway.discovery.known[TARGETS].get("i-marker"))
             is not None
             and known.revision == revision
         ),
@@ -68,7 +68,7 @@
     """Restores the store from a snapshot during an outage."""
     fleet.store.faults.refuses = True
     for gateway in gateways:
-        followers = gateway.knowledge.followers.values()
+        followers = gateway.discovery.followers.values()
         for follower in followers:
             follower.renew()
         await fleet.until(
@@ -136,7 +136,9 @@
     fixtures.run(play)
 
 
-def test_a_target_of_the_lost_time_is_kept_until_it_registers_again() -> None:
+def test_a_target_missing_from_the_snapshot_is_kept_until_it_registers() -> (
+    None
+):
     """Guards against dropping a running target whose entry was discarded."""
 
     async def play() -> None:
@@ -193,7 +195,7 @@
     fixtures.run(play)
 
 
-def test_a_peer_tells_of_a_restored_store() -> None:
+def test_a_peer_reports_a_restored_store() -> None:
     """Guards against ignoring a peer's entries of a later era."""
 
     async def play() -> None:
@@ -206,25 +208,27 @@
             await _has_read_all(fleet, fleet.gateway)
             await _has_read_all(fleet, cut_off)
             faults.refuses = True
-            for follower in cut_off.knowledge.followers.values():
+            for follower in cut_off.discovery.followers.values():
                 follower.renew()
             await _restore(fleet, snapshot, fleet.gateway)
             await _has_read_all(fleet, fleet.gateway)
             spec = _spec(fleet, "i-plain0", state="draining")
             fleet.store.put(TARGETS, "i-plain0", spec)
             await _has_read_all(fleet, fleet.gateway)
-            followers = cut_off.knowledge.followers.values()
+            followers = cut_off.discovery.followers.values()
             await fleet.until(
                 lambda: all(one.failing_since_ms for one in followers),
                 "it has lost the store",
             )
-            cut_off.knowledge.take_known(fleet.gateway.knowledge.tell())
+            cut_off.discovery.apply_peer_objects(
+                fleet.gateway.discovery.export_objects()
+            )
             assert "i-plain0" not in _usable(cut_off)
 
     fixtures.run(play)
 
 
-def test_what_is_kept_of_crashes_is_written_again() -> None:
+def test_crash_records_are_rewritten_after_a_restore() -> None:
     """Guards against losing a quarantine with the store's records."""
 
     async def play() -> None:
@@ -243,7 +247,7 @@
                     for number in (3, 2, 1)
                 ),
             )
-            gateway.crash_gossip.take([record], source="peer")
+            gateway.crash_gossip.merge([record], source="peer")
             assert gateway.crash_gossip.quarantine(record.fingerprint)
             await _has_read_all(fleet, gateway)
             await _restore(fleet, snapshot, gateway)
@@ -285,7 +289,7 @@
     assert roster.members["i-1"].listing.changed_position.era == 3
 
 
-def test_a_restored_target_is_used_if_the_list_goes_on_naming_it() -> None:
+def test_a_restored_target_is_used_if_it_stays_listed() -> None:
     """Guards against withholding a listed target indefinitely."""
     roster = roster_lib.Roster(2_500)
     roster.upsert(_listing())
@@ -305,7 +309,7 @@
     assert roster.upsert(_listing(era=2, changed_at=61)) is not None
 
 
-def test_a_new_start_is_used_whatever_the_copy_says() -> None:
+def test_a_removal_does_not_apply_to_another_incarnation() -> None:
     """Guards against applying a removal to another start of a target."""
     roster = roster_lib.Roster(2_500)
     roster.upsert(_listing())
@@ -313,7 +317,7 @@
     assert roster.upsert(_listing(era=2, changed_at=50, born_ms=2)) is not None
 
 
-def test_a_restored_entry_of_a_former_start_does_not_end_the_present_one() -> (
+def test_a_restored_former_incarnation_does_not_replace_the_running_one() -> (
     None
 ):
     """Guards against marking the running start as over, and ignoring it."""
@@ -328,7 +332,7 @@
     assert not roster.usable(platform_site.PLAIN, 5_000)
 
 
-def test_a_start_that_registers_at_a_reused_revision_is_used() -> None:
+def test_an_incarnation_registered_at_a_reused_revision_is_used() -> None:
     """Guards against withholding a new start indefinitely."""
     roster = roster_lib.Roster(2_500)
     roster.upsert(_listing(changed_at=84))
--- a/tests/fleet/test_target_news.py
+++ b/tests/fleet/test_target_news.py
@@ -84,7 +84,7 @@
             fleet.store.delete(TARGETS, "i-plain0")
             fleet.store.put(TARGETS, "i-plain0", spec)
             fleet.store.faults.refuses = False
-            follower = gateway.knowledge.followers[TARGETS]
+            follower = gateway.discovery.followers[TARGETS]
             await fleet.until(
                 lambda: (
                     follower.revision >= fleet.store.revision
