--- a/packages/radishd/src/radishd/process/__init__.py
+++ b/packages/radishd/src/radishd/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one process."""
+"""Parts of a daemon that last as long as its process."""
--- a/packages/radishd/src/radishd/process/admin.py
+++ b/packages/radishd/src/radishd/process/admin.py
@@ -1,4 +1,4 @@
-"""The admin port: health, readiness, metrics and status, never for callers."""
+"""The admin port: health, readiness, metrics and status; not for callers."""
 
 from collections.abc import Callable
 import json
@@ -22,10 +22,10 @@
     """Makes the application of the admin port.
 
     Args:
-        metrics: What ``/metrics`` renders.
+        metrics: Metrics that ``/metrics`` renders.
         ready: Returns why the process is not ready, empty if it is.
-        status: Returns what ``/status`` answers.
-        refresh: Called before ``/metrics`` to set the gauges.
+        status: Returns the response of ``/status``.
+        refresh: Called before ``/metrics`` is rendered, to set the gauges.
 
     Returns:
         The application.
--- a/packages/radishd/src/radishd/process/checked.py
+++ b/packages/radishd/src/radishd/process/checked.py
@@ -1,19 +1,20 @@
-"""Validation of objects of the store, which anybody may have written."""
+"""Validation of stored objects, which any client of the store may write."""
 
 from typing import Annotated
 
 import pydantic
 from radishstack import result
 
-# Clocks may be wrong, but a birth has to fit where it is passed on.
+# The writer's clock may be wrong, but the value must fit the 64-bit integer
+# in which it is forwarded.
 StartTimeMs = Annotated[int, pydantic.Field(ge=0, lt=2**63)]
 
 
 class StrictModel(pydantic.BaseModel):
-    """An object that anybody may have written: each field is checked.
+    """A stored object of an untrusted writer; each field is validated.
 
-    Sent to what such an entry names, requests would go where nobody answers
-    for them. Fields that are not known here pass; writers may be newer.
+    An invalid entry could route requests to an address that serves nothing.
+    Unknown fields are ignored, since writers may run a newer version.
     """
 
     model_config = pydantic.ConfigDict(
@@ -22,11 +23,11 @@
 
 
 def invalid_object(what: str, error: Exception) -> result.Failure:
-    """Returns why an object cannot be used, without its content.
+    """Returns why an object is invalid, without its content.
 
     Args:
-        what: The object.
-        error: What its validation raised.
+        what: Description of the object.
+        error: Exception that its validation raised.
     """
     reason = repr(error)
     if isinstance(error, pydantic.ValidationError):
--- a/packages/radishd/src/radishd/process/clock.py
+++ b/packages/radishd/src/radishd/process/clock.py
@@ -11,11 +11,10 @@
 
 
 def boot_ms() -> int:
-    """Returns the clock that goes on while the VM is suspended.
+    """Returns a monotonic clock that includes the time the VM is suspended.
 
-    A deadline kept on the monotonic clock would grow by the time that the VM
-    was suspended, and targets would be given time that the caller no longer
-    has.
+    A deadline on the plain monotonic clock would be extended by a suspension,
+    and targets would be given time that the caller no longer has.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NS_PER_MS
 
--- a/packages/radishd/src/radishd/process/configuration.py
+++ b/packages/radishd/src/radishd/process/configuration.py
@@ -1,4 +1,4 @@
-"""Following the configuration in force, and getting changes accepted."""
+"""Follows the configuration in the store, and proposes changes to it."""
 
 from collections.abc import Callable
 import random
@@ -24,10 +24,10 @@
 
 
 class Configuration:
-    """The version in force in this process, and who is told of a new one."""
+    """The version in force in this process, with listeners for new ones."""
 
     def __init__(self) -> None:
-        """Holds nothing yet."""
+        """Starts with the empty version."""
         self.holder = holder_lib.Holder()
         self._listeners: list[Listener] = []
         self._version_changed = anyio.Event()
@@ -54,13 +54,13 @@
         logs.info("config_in_force", config_version=held.version)
 
     def advance(self, commit: commit_lib.Commit) -> bool:
-        """Applies the next commit, from the store or from a peer.
+        """Applies a commit from the store or a peer if it is the next one.
 
         Args:
-            commit: Maybe the next one.
+            commit: The commit.
 
         Returns:
-            Whether it came into force here.
+            Whether it was applied.
         """
         if commit.version != self.held.version + 1:
             return False
@@ -74,11 +74,11 @@
         return True
 
     def request_read(self) -> None:
-        """Makes a follower that does not watch read the store now."""
+        """Makes a follower that does not watch the store read it now."""
         self._read_requested.set()
 
     async def wait_for_read_request(self, timeout_ms: float) -> None:
-        """Waits for a nudge, or for the time."""
+        """Waits for a requested read, or until the timeout."""
         with anyio.move_on_after(timeout_ms / MS_PER_S):
             await self._read_requested.wait()
         self._read_requested = anyio.Event()
@@ -91,7 +91,7 @@
             timeout_ms: How long to wait.
 
         Returns:
-            Whether it is.
+            Whether it is in force.
         """
         with anyio.move_on_after(timeout_ms / MS_PER_S):
             while self.held.version < version:
@@ -105,14 +105,14 @@
     random_source: random.Random,
     watches: Callable[[], bool] = lambda: True,
 ) -> None:
-    """Keeps the configuration up to the store's until cancelled.
+    """Keeps the configuration in sync with the store until cancelled.
 
     Args:
-        configuration: Where new versions go.
+        configuration: Receives new versions.
         store: The object API.
-        random_source: Spreads the retries of many processes.
-        watches: Whether this process is one of the few that watch; the
-            others learn from their peers, and read now and then.
+        random_source: Adds jitter to the retries of many processes.
+        watches: Whether this process is one of the few that watch the store;
+            the others receive commits from peers and poll the store.
     """
     revision: int | None = None
     failures = 0
@@ -164,7 +164,7 @@
             commit = await store_lib.read_commit(store, name)
             if isinstance(commit, result.Failure):
                 return commit
-            # A peer's push may have brought it meanwhile.
+            # Has no effect if a peer has pushed the commit meanwhile.
             configuration.advance(commit)
         return None
     held = await store_lib.catch_up(store, configuration.held, root)
@@ -177,7 +177,7 @@
 async def read_now(
     store: store_lib.Store,
 ) -> result.Outcome[holder_lib.Held]:
-    """Reads the version in force from the store, for an operator."""
+    """Reads the version in force from the store, for an operator's tool."""
     read = await store_lib.read_root(store)
     if isinstance(read, result.Failure):
         return read
@@ -192,17 +192,17 @@
     operator: str,
     reason: str,
 ) -> result.Outcome[publish.Accepted]:
-    """Gets a change accepted.
+    """Proposes a change until it is accepted or rejected.
 
     Args:
         store: The object API.
         operations: The change.
-        base: The version the operator looked at.
-        operator: Who.
-        reason: Why.
+        base: Version that the operator based the change on.
+        operator: Operator's name, for the audit trail.
+        reason: Reason of the change, for the audit trail.
 
     Returns:
-        The version from which it is in force, or why it was refused.
+        The version that includes the change, or why it was rejected.
     """
     proposal = publish.Proposal(
         write_id=secrets.token_hex(12),
@@ -267,10 +267,10 @@
 
 
 async def _snapshot_if_due(store: store_lib.Store) -> None:
-    """Writes a snapshot once enough commits have gathered.
+    """Writes a snapshot once enough commits have accumulated.
 
-    Whoever commits next tries again if this is cut short: until the root
-    names the parts, they are only objects nobody reads.
+    If this is interrupted, the next writer of a commit tries again: parts
+    that the root does not reference are never read.
     """
     read = await store_lib.read_root(store)
     if isinstance(read, result.Failure | str):
--- a/packages/radishd/src/radishd/process/configuration_gossip.py
+++ b/packages/radishd/src/radishd/process/configuration_gossip.py
@@ -1,4 +1,4 @@
-"""Telling peers of new versions, and hearing of them, over datagrams."""
+"""Exchange of configuration versions between peers, over datagrams."""
 
 from collections.abc import Callable
 import functools
@@ -25,7 +25,7 @@
 
 
 class ConfigurationGossip:
-    """The dissemination of one process on its control socket."""
+    """Runs the dissemination of one process on its control socket."""
 
     def __init__(
         self,
@@ -35,14 +35,14 @@
         configuration: configuration_lib.Configuration,
         random_source: random.Random,
     ) -> None:
-        """Hooks itself into the control socket and the configuration.
+        """Registers callbacks at the control socket and the configuration.
 
         Args:
-            settings: Of this process.
-            address: Of its control socket.
+            settings: Settings of this process.
+            address: Address of the control socket.
             control: The control socket.
             configuration: The version in force here.
-            random_source: Picks the peers.
+            random_source: Chooses the peers.
         """
         self.settings = settings
         self.configuration = configuration
@@ -85,7 +85,7 @@
         self._wake.set()
 
     def announce_leaving(self, names: tuple[str, ...]) -> None:
-        """Passes on who leaves."""
+        """Forwards the names of draining VMs."""
         if names:
             self._feed(dissemination_lib.LeavingHeard(names))
 
@@ -122,7 +122,7 @@
         if self.configuration.advance(commit):
             return
         if commit.version > self.configuration.held.version:
-            # A gap: ask the sender for what lies between.
+            # Commits are missing: request them from the sender.
             request = dissemination_lib.SendDigest(sender, False)
             self._outbox.append(request)
             self._wake.set()
@@ -130,9 +130,9 @@
     def watches(self) -> bool:
         """Whether this process watches the object API.
 
-        Entry daemons do; of the target processes a few per failure domain,
-        picked by rendezvous among the document's targets. It is soft: two
-        views of the document only make one watcher more or less.
+        All entry daemons do, and a few target processes per failure domain,
+        chosen by rendezvous hashing among the document's targets. Different
+        views of the document only result in one watcher more or less.
         """
         if self.settings.role is settings_lib.Role.ENTRY:
             return True
@@ -143,7 +143,7 @@
         )
 
     async def run(self) -> None:
-        """Sends what is due until cancelled."""
+        """Sends digests and commits until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._rounds)
             while True:
--- a/packages/radishd/src/radishd/process/control.py
+++ b/packages/radishd/src/radishd/process/control.py
@@ -1,4 +1,4 @@
-"""Datagrams between processes: probes and their reports, digests."""
+"""Datagrams between processes: load probes and reports, version digests."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class ControlSocket:
-    """One UDP socket of a process."""
+    """The control socket of a process, over UDP."""
 
     def __init__(
         self, socket: anyio.abc.UDPSocket, metrics: metrics_lib.Metrics
@@ -43,7 +43,7 @@
         self.bytes_received = 0
 
     async def run(self) -> None:
-        """Answers and sorts datagrams until cancelled."""
+        """Receives and dispatches datagrams until cancelled."""
         async for data, (host, port) in self._socket:
             size_bytes = len(data) + UDP_IP_HEADER_BYTES
             self.bytes_received += size_bytes
@@ -60,7 +60,8 @@
                 await self.send(sender, datagram.nonce, report)
             case load_lib.Load():
                 pending = self._pending_probes.get(datagram.nonce)
-                # Only who was asked may answer; a datagram is easily forged.
+                # Only the probed address may answer: datagrams are easily
+                # forged.
                 if pending is not None and pending[0] == sender:
                     self._probe_reports[datagram.nonce] = datagram.body
                     pending[1].set()
@@ -71,7 +72,7 @@
     async def send(
         self, address: Address, nonce: int, body: frame.DatagramBody
     ) -> None:
-        """Sends one datagram; one that cannot be sent is lost like any."""
+        """Sends one datagram; a failed send counts as datagram loss."""
         data = frame.encode_datagram(nonce, body)
         size_bytes = len(data) + UDP_IP_HEADER_BYTES
         self.bytes_sent += size_bytes
@@ -85,16 +86,16 @@
     async def probe(
         self, address: Address, adapter: str, version: int, timeout_ms: int
     ) -> load_lib.Load | None:
-        """Asks a target process for its load.
+        """Probes a target process for its load.
 
         Args:
-            address: Where its control socket is.
+            address: Address of its control socket.
             adapter: The adapter of interest, empty for none.
             version: Configuration version held here.
             timeout_ms: How long to wait.
 
         Returns:
-            Its word, or None without one in time.
+            The report, or None if none arrived in time.
         """
         nonce = next(self._nonces) % MAX_NONCE
         event = anyio.Event()
@@ -121,7 +122,7 @@
         metrics: Where probes are counted.
 
     Returns:
-        The control, to be run.
+        The socket; the caller runs it.
     """
     host, port = settings_lib.split_address(address)
     socket = await anyio.create_udp_socket(local_host=host, local_port=port)
--- a/packages/radishd/src/radishd/process/crash_gossip.py
+++ b/packages/radishd/src/radishd/process/crash_gossip.py
@@ -1,9 +1,10 @@
-"""What gateways tell each other of crashes, and what one keeps for the next.
+"""Exchange of crash evidence between gateways.
 
-A request that ends targets comes again at any gateway. A crash is told to all
-others at once, which is rare; what several crashes have in common is told on,
-one gateway at a time, so that the cost grows with neither gateways nor targets
-and one that was cut off or has just started learns of it within seconds.
+A request that crashes targets may be repeated through any gateway. Each crash,
+a rare event, is reported to all other gateways at once. Suspects of several
+crashes are also gossiped to one gateway at a time, so that the cost grows with
+neither gateways nor targets, and a gateway that was cut off or has just started
+receives them within seconds.
 """
 
 from collections.abc import Awaitable
@@ -23,19 +24,19 @@
 from radishd.process import metrics as metrics_lib
 
 MS_PER_S = 1_000
-# Words of a crash and of requests that ended well are gathered this long.
+# Delay before reports are sent, so that several share a datagram.
 COALESCE_MS = 10
-# How many records one datagram holds, so that it stays below a few kilobytes.
+# Keeps a datagram below a few kilobytes.
 MAX_RECORDS_PER_DATAGRAM = 24
-# How often one other gateway is told what several crashes have in common:
-# often while it is news, rarely afterwards.
+# Interval of gossip, longer once the newest crash is older than
+# RECENT_CRASH_MS.
 GOSSIP_INTERVAL_MS = 1_000
 RECENT_CRASH_MS = 60_000
 OLD_GOSSIP_INTERVAL_MS = 10_000
-# When a gateway that has started asks: it knows few others at first.
+# Repeated since a gateway knows few others at its start.
 START_REQUEST_DELAYS_MS = (0, 1_000, 3_000)
 MAX_REQUEST_RECEIVERS = 3
-# Number of gateways that rewrite each record after the store was restored.
+# Number of gateways that rewrite each record after a restore of the store.
 REWRITER_COUNT = 2
 EXPIRE_INTERVAL_MS = 10_000
 
@@ -45,10 +46,10 @@
 
 
 class CrashGossip:
-    """The evidence of one gateway, and its words to others.
+    """Crash evidence of one gateway, exchanged with the others.
 
     Attributes:
-        evidence: What is known.
+        evidence: Crashes and suspects known here.
     """
 
     def __init__(
@@ -61,17 +62,17 @@
         random_source: random.Random,
         on_quarantined: Callable[[crash_evidence.Record], None],
     ) -> None:
-        """Starts knowing nothing.
+        """Starts without evidence.
 
         Args:
             own_host: Host by which the others know this gateway.
-            others: Returns where the other gateways are told.
-            send: Sends a word to some of them.
-            log: Where what is believed is logged.
-            metrics: Where requests that are refused are counted.
-            random_source: Chooses whom to tell.
-            on_quarantined: Told what is known of a request that is refused from
-                a crash on that was seen here.
+            others: Returns the datagram addresses of the other gateways.
+            send: Sends a report to the given addresses.
+            log: Where quarantines are logged.
+            metrics: Where quarantined requests are counted.
+            random_source: Chooses the receivers of gossip.
+            on_quarantined: Called with the record of a request whose
+                quarantine begins or changes with a crash observed here.
         """
         self.evidence = crash_evidence.CrashEvidence()
         self._own_host = own_host
@@ -93,7 +94,7 @@
         self._expired_at_ms = clock.boot_ms()
 
     def crashed(self, crash: crash_lib.Crash) -> None:
-        """Records a crash that was seen here, and reports it to others."""
+        """Records a crash observed here, and reports it to all others."""
         records = self.evidence.crashed(crash)
         self._report_soon(records)
         for record in records:
@@ -112,18 +113,19 @@
         self._wake.set()
 
     def quarantine(self, fingerprint: str) -> crash_evidence.Quarantine | None:
-        """Says whether a request is to be refused now."""
+        """Returns the quarantine of a request, None if there is none."""
         return self.evidence.quarantine(fingerprint, clock.boot_ms())
 
     @property
     def has_trial(self) -> bool:
-        """Whether a request that is refused is being tried."""
+        """Whether the trial of a quarantined request is running."""
         return bool(self._trials)
 
     def begin_trial(self, fingerprint: str) -> bool:
-        """Whether to send a request that is refused, to try it.
+        """Whether to send a quarantined request as a trial.
 
-        One at a time: who got it calls ``end_trial`` once it has ended.
+        There is one trial of a request at a time: after True, the caller must
+        call ``end_trial`` once the request has completed.
         """
         if fingerprint in self._trials:
             return False
@@ -136,7 +138,7 @@
         return True
 
     def end_trial(self, fingerprint: str) -> None:
-        """Ends the trial of a request, however it went."""
+        """Ends the trial of a request, whatever its outcome."""
         self._trials.discard(fingerprint)
 
     def _rank(self, fingerprint: str) -> int:
@@ -152,7 +154,11 @@
         ]
 
     def _update_quarantine(self, fingerprint: str, *, source: str) -> bool:
-        """Logs a quarantine once; returns whether it is another than before."""
+        """Logs the begin, change or end of a quarantine.
+
+        Returns:
+            Whether the request is in a quarantine that is new or has changed.
+        """
         quarantine = self.quarantine(fingerprint)
         moments = quarantine.moments if quarantine is not None else 0
         if self._quarantined.get(fingerprint, 0) == moments:
@@ -175,7 +181,7 @@
     def handle_report(
         self, report: fleet_wire.CrashReport, sender: fleet_socket.Address
     ) -> None:
-        """Handles a report of another gateway, and answers if it asks."""
+        """Handles a report of another gateway, and answers its request."""
         now_ms = clock.boot_ms()
         entries = [
             fleet_wire.record_of(record, now_ms) for record in report.records
@@ -194,7 +200,7 @@
     def merge(
         self, records: Iterable[crash_evidence.Record], *, source: str
     ) -> None:
-        """Applies what other processes have seen."""
+        """Merges records of other gateways or of the store."""
         for record in records:
             if self.evidence.take(record):
                 self._update_quarantine(record.fingerprint, source=source)
@@ -211,7 +217,7 @@
             await self._send(addresses, fleet_wire.CrashReport(batch))
 
     async def send_reports(self) -> None:
-        """Sends reports to others, and to those that ask, until cancelled."""
+        """Sends reports to all others and to requesters until cancelled."""
         while True:
             await self._wake.wait()
             self._wake = anyio.Event()
@@ -253,7 +259,7 @@
         )
 
     def request_reports_soon(self) -> None:
-        """Asks for what was told while this gateway could not be reached."""
+        """Requests reports missed while this gateway was unreachable."""
         self._request_pending = True
         self._wake.set()
 
@@ -265,7 +271,7 @@
         await self._send(receivers, fleet_wire.CrashReport(asks=True))
 
     async def request_reports_at_start(self) -> None:
-        """Asks a few times: the first others that are known may be gone."""
+        """Requests reports several times, as known peers may be gone."""
         began_ms = clock.boot_ms()
         for after_ms in START_REQUEST_DELAYS_MS:
             left_ms = began_ms + after_ms - clock.boot_ms()
@@ -274,7 +280,7 @@
         await anyio.sleep_forever()
 
     def sweep(self) -> None:
-        """Forgets what is too old, and notes what is refused no more."""
+        """Expires old evidence, and logs quarantines that have ended."""
         now_ms = clock.boot_ms()
         if now_ms - self._expired_at_ms > EXPIRE_INTERVAL_MS:
             self._expired_at_ms = now_ms
--- a/packages/radishd/src/radishd/process/crash_record.py
+++ b/packages/radishd/src/radishd/process/crash_record.py
@@ -1,4 +1,4 @@
-"""Records of crashes as the store keeps them, an object of our own kind."""
+"""Crash records as objects of the store, of a kind defined here."""
 
 from typing import Annotated
 from typing import Any
@@ -10,7 +10,6 @@
 
 from radishd.process import checked
 
-# Kind of the objects.
 KIND = "crashes"
 
 _Text = Annotated[str, pydantic.Field(min_length=1, pattern=r"^[!-~]+$")]
@@ -31,12 +30,12 @@
 def encode(
     record: crash_evidence.Record, now_ms: int, unix_ms: int
 ) -> dict[str, Any]:
-    """Encodes what is known against a request, for the store to keep.
+    """Encodes a crash record for the store.
 
     Args:
-        record: What is known.
+        record: The record.
         now_ms: This VM's clock.
-        unix_ms: The wall clock, by which another VM can read it.
+        unix_ms: The wall clock, the reference of the stored times.
     """
     observations = [
         {
@@ -53,16 +52,16 @@
 def decode(
     spec: Any, now_ms: int, unix_ms: int
 ) -> result.Outcome[crash_evidence.Record]:
-    """Decodes what the store keeps of a request.
+    """Decodes a crash record from the store.
 
     Args:
         spec: The object's content.
         now_ms: This VM's clock.
-        unix_ms: The wall clock. A crash that lies in its future by another
-            VM's clock is taken for one of now.
+        unix_ms: The wall clock. Times in its future, which another VM's clock
+            may produce, count as now.
 
     Returns:
-        The record, or what could not be read.
+        The record, or why it is invalid.
     """
     try:
         entry = _CrashRecord.model_validate(spec)
--- a/packages/radishd/src/radishd/process/decision_log.py
+++ b/packages/radishd/src/radishd/process/decision_log.py
@@ -1,9 +1,8 @@
-"""The log of decisions: JSON lines on standard output, bounded, not blocking.
+"""Decision log: rate-limited, non-blocking JSON lines on standard output.
 
-A reader that stands still must not stop the process, and a flood of requests
-must not spend its processor time on logging. Lines over the rate, and lines
-that the reader does not take, are dropped and counted, and the count is
-logged.
+A stalled reader must not block the process, and a flood of requests must not
+spend its CPU time on logging. Lines over the rate limit and lines that do not
+fit the buffer are dropped, and the next line contains their count.
 """
 
 import collections
@@ -14,23 +13,23 @@
 import time
 from typing import Any
 
-# Lines a second that a process writes at most, and the burst above it: twice
-# the requests of one gateway at the planned peak.
+# Rate limit of a process, and its burst: twice the requests of one gateway at
+# the planned peak.
 MAX_LINES_PER_S = 60.0
 BURST_LINES = 240.0
-# Bytes that wait for a slow reader before lines are dropped.
+# Buffer for a slow reader.
 MAX_PENDING_BYTES = 256 * 1024
 NS_PER_S = 1_000_000_000
 
 
 class DecisionLog:
-    """Writes decisions of one process."""
+    """The decision log of one process."""
 
     def __init__(self, fd: int, **constant_fields: str) -> None:
         """Makes the descriptor non-blocking.
 
         Args:
-            fd: Where lines go.
+            fd: Descriptor that lines are written to.
             **constant_fields: Fields of every line.
         """
         self._fd = fd
@@ -45,14 +44,17 @@
             os.set_blocking(fd, False)
 
     def write(self, event: str, **fields: Any) -> None:
-        """Logs one decision; drops it when over the rate."""
+        """Logs one decision, or drops it if it exceeds the rate limit."""
         if not self._take_token():
             self.dropped += 1
             return
         self.must(event, **fields)
 
     def must(self, event: str, **fields: Any) -> None:
-        """Logs a rare event, such as a start or a lost dependency."""
+        """Logs a rare event, such as a start or a lost dependency.
+
+        The rate limit does not apply to it.
+        """
         if self.dropped:
             fields["dropped_lines"] = self.dropped
             self.dropped = 0
@@ -85,7 +87,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes what the reader takes now."""
+        """Writes buffered lines until the descriptor would block."""
         while self._pending:
             data = self._pending[0]
             try:
@@ -93,7 +95,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone; nothing else can be told to anybody.
+                # The reader has closed the pipe; nothing more can be logged.
                 self._pending.clear()
                 self._pending_bytes = 0
                 return
--- a/packages/radishd/src/radishd/process/discovery.py
+++ b/packages/radishd/src/radishd/process/discovery.py
@@ -1,8 +1,8 @@
-"""What a gateway knows from the platform's store, and from other gateways.
+"""Discovery of configuration, targets and announced adapter versions.
 
-Configuration, targets and announced versions are followed in the store; while
-it does not answer, another gateway is asked for what it knows. Whatever the
-source, it is taken by the same rules: versions only go forward.
+A gateway follows these objects in the platform's store, and requests them from
+another gateway during a store outage. The same rules apply to both sources: an
+older version never replaces a newer one.
 """
 
 import collections
@@ -28,45 +28,46 @@
 from radishd.process import stored
 
 MS_PER_S = 1_000
-# A watch of the targets is renewed this often, so that a store that went
-# silent is noticed; the other two kinds change rarely and follow its lead.
+# The short watch of the targets detects a store that no longer answers. The
+# other two kinds change rarely; their watches are replaced when it fails.
 TARGETS_WATCH_MS = 2_000
-# Changes of targets are gathered for this part of the time in which one that
-# leaves must get no more work; the rest is for the watch and what is on its
-# way. Each answer of a watch is a call that is paid for: engines change their
-# entries about once a second, so nearly every watch is answered at once.
+# Changes of targets are coalesced for this fraction of the time within which a
+# draining target must get no more requests; the rest is for the watch and for
+# messages in flight. Each answer of a watch is a billed call, and nearly every
+# watch is answered at once, since engines change their entries about once a
+# second.
 TARGETS_COALESCE_FRACTION = 0.55
 RARE_WATCH_MS = 15_000
-# The first change of the configuration is taken at once; those that follow it
-# are gathered for this part of the time in which a change must be in force.
-# Changes of a storm come tens of milliseconds apart, and each would cost a call
-# of every gateway.
+# The first change of the configuration is applied at once; further changes are
+# coalesced for this fraction of the time within which a change must be in
+# force. Changes of a burst are tens of milliseconds apart, and each would cost
+# a call of every gateway.
 CONFIGURATION_COALESCE_FRACTION = 0.2
 VERSIONS_COALESCE_MS = 120
-# After an outage of this length the other calls are made anew: one that began
-# in it may hang until its end, seconds later. After a shorter one a failed
-# call's own retry comes about as soon, and renewals that fail again would
-# make each other's.
+# Length of a store outage after which the watches of the other kinds are
+# replaced: a watch that began in the outage may hang until its timeout, seconds
+# later. After a shorter outage, the retry of a failed call is about as fast,
+# and replacements that fail again would trigger one another.
 RENEW_AFTER_MS = 500
-# Objects that could not be used of which the state is remembered, so that each
-# is logged once; and how much of the reason a line holds.
+# Invalid objects whose position is remembered, so that each revision is logged
+# once, and the logged length of the reason.
 MAX_REJECTED_OBJECTS = 1_024
 MAX_REASON_CHARS = 400
-# Versions of the configuration of which operators are told what changed, and
-# differences of one version that a line of the log names.
+# Configuration versions whose changes are kept for operators, and changes of
+# one version that are logged.
 MAX_CHANGES = 32
 MAX_LOGGED_CHANGES = 12
 
 
 class Discovery:
-    """What one gateway knows, and how it learns it.
+    """Stored objects as one gateway knows them.
 
     Attributes:
-        followers: Of each kind of object.
-        known: Objects by kind and name, for gateways that ask.
-        told_positions: By kind, the newest store position up to which
-            another gateway has told all that it knows.
-        changes: Of the configuration, the newest last.
+        followers: The follower of each kind of object.
+        known: Objects by kind and name, for gateways that request them.
+        peer_positions: By kind, the newest store position of a complete list
+            received from another gateway.
+        changes: Changes of the configuration, the newest last.
     """
 
     def __init__(
@@ -87,24 +88,26 @@
         on_store_back: Callable[[], None],
         on_store_restored: Callable[[], None],
     ) -> None:
-        """Starts knowing nothing.
+        """Starts without objects.
 
         Args:
             store: The platform's store.
             peers: Other gateways.
-            roster: Takes targets.
-            placement: Takes announced versions.
-            holder: Takes configurations.
-            log: Where what is learned is logged.
-            metrics: Where objects that cannot be used are counted.
-            leaving_ms: How soon a target that leaves gets no more work.
-            configuration_ms: How soon a new configuration must be in force.
-            on_listed: Told of a start of a target that was not known.
-            on_change: Told that something has changed.
-            on_limits: Told the limits of a new configuration.
-            on_store_back: Told that the store answers after an absence.
-            on_store_restored: Told that the store was restored from an older
-                copy and lost later writes.
+            roster: Receives targets.
+            placement: Receives announced versions.
+            holder: Receives configurations.
+            log: Where changes are logged.
+            metrics: Where invalid objects are counted.
+            leaving_ms: Time after which a draining target must get no more
+                requests.
+            configuration_ms: Time after which a new configuration must be in
+                force.
+            on_listed: Called with a new incarnation of a target.
+            on_change: Called after any change.
+            on_limits: Called with the limits of a new configuration.
+            on_store_back: Called when the store answers after an outage.
+            on_store_restored: Called when the store was restored from an older
+                copy, without later writes.
         """
         self._store = store
         self._peers = peers
@@ -143,14 +146,14 @@
         )
 
     def record_nameless(self, kind: str, count: int) -> None:
-        """Counts and logs objects that have no name."""
+        """Counts and logs objects without a name."""
         for _ in range(count):
             self._metrics.unreadable.inc({"kind": kind})
         if count:
             self._log.write("objects_nameless", kind=kind, count=count)
 
     def notify_change(self) -> None:
-        """Notifies that something has changed."""
+        """Calls the listener for changes."""
         self._on_change()
 
     def _make_followers(self) -> dict[str, follow.Follower]:
@@ -179,10 +182,10 @@
         }
 
     def _store_lost(self, kind: str) -> None:
-        """Doubts the long watches as soon as the short one has failed.
+        """Restarts the long watches as soon as the short one has failed.
 
-        Cut off silently, they would be waited for to their end, and what
-        other gateways know would not be asked for until then.
+        They may be cut off without an error. Until they time out, the objects
+        would not be requested from other gateways.
         """
         if kind != wire.KIND_TARGETS:
             return
@@ -191,10 +194,11 @@
                 follower.restart()
 
     def _store_back(self, kind: str, absence: availability.Absence) -> None:
-        """Doubts absences and hanging calls, from the first answer on.
+        """Begins the grace period, and replaces watches that may hang.
 
-        Counted from the first answer on the targets, which may come seconds
-        after the store's return, doubt would hide those that leave meanwhile.
+        The grace period begins with the first answer of any kind: the first
+        answer for the targets may be seconds later, and a grace period from
+        then on would hide targets that leave in the meantime.
         """
         may_have_expired = self._roster.outage_ended(
             clock.boot_ms(), away_ms=absence.away_ms
@@ -235,7 +239,8 @@
             told_by=told_by,
             read_revision=self._known_position(wire.KIND_TARGETS).revision,
         )
-        # Entries written after the copy are missing until they are renewed.
+        # Entries written after the copy was made are missing until their
+        # owners renew them.
         self._roster.begin_grace(clock.boot_ms())
         self._on_store_restored()
 
@@ -257,7 +262,8 @@
         )
         self.changes.append(change)
         if not before.version:
-            # Targets that were listed before it could not be told anything.
+            # Nothing could be sent to targets listed before the first
+            # configuration.
             for member in self._roster.members.values():
                 self._on_listed(member)
         self._log.must(
@@ -268,12 +274,12 @@
         )
         self._on_limits(table.limits)
         if before.services.keys() != table.services.keys():
-            # Targets of a service that was not named before, or is no more.
+            # Targets may belong to a service that was added or removed.
             for target in list(self.known[wire.KIND_TARGETS].values()):
                 self._apply_target(target)
 
     def _reject(self, kind: str, record: stored.Record, reason: str) -> None:
-        """Records an object that cannot be used; logs each revision once."""
+        """Counts and logs an invalid object, once for each revision."""
         key = (kind, record.name)
         if self._rejected_positions.get(key) == record.position:
             return
@@ -291,8 +297,8 @@
 
     def _reject_target(self, record: stored.Record, reason: str) -> None:
         self._reject(wire.KIND_TARGETS, record, reason)
-        # What it said before is not true any more, and what it says now names
-        # nothing that a request could be sent to.
+        # The earlier content is outdated, and the new content is no valid
+        # target to send requests to.
         if self._roster.drop(record.name):
             self._log.write("target_dropped", target=record.name)
 
@@ -312,8 +318,8 @@
             return
         table = self._holder.table
         if table.version and listing.service not in table.services:
-            # Taken for a target it would count as the later one at its
-            # address, and whichever runs there would get no more work.
+            # If applied, this entry would supersede another target at the same
+            # address, which would get no more requests.
             self._reject_target(record, f"no service {listing.service!r}")
             return
         known = self._roster.members.get(record.name)
@@ -388,7 +394,7 @@
         )
 
     async def ask_peers(self) -> None:
-        """Asks another gateway while the store does not answer."""
+        """Requests objects from other gateways during a store outage."""
         while True:
             await anyio.sleep(peers_lib.ASK_EVERY_MS / MS_PER_S)
             failing = [
@@ -403,10 +409,10 @@
                 self.apply_peer_objects(known)
 
     def apply_peer_objects(self, known: dict[str, Any]) -> None:
-        """Applies what another gateway knows, of the kinds not read here.
+        """Applies objects of another gateway, of the kinds that fail here.
 
         Args:
-            known: What its ``tell`` returned.
+            known: Result of its ``export_objects``.
         """
         for kind, names in known.get("objects", {}).items():
             follower = self.followers.get(kind)
@@ -436,10 +442,10 @@
         *,
         fresh: bool,
     ) -> None:
-        """Applies what is newer than all that was read or told before.
+        """Applies objects newer than all that were read or received before.
 
-        Otherwise a peer whose view is older would bring back targets that
-        are known to leave, and no watch would take them away again.
+        Otherwise a peer with an older view would restore targets that are known
+        to be leaving, and no watch would remove them again.
         """
         known_position = self._known_position(kind)
         if 0 < known_position.era < peer_position.era:
@@ -464,18 +470,19 @@
                 self._apply_removal(name)
 
     def export_objects(self) -> dict[str, Any]:
-        """Returns what another gateway may take over from here."""
+        """Returns the known objects, for another gateway to apply."""
         follower = self.followers[wire.KIND_TARGETS]
-        # While this gateway doubts absences itself, another one that takes
-        # its list as complete would have no target left.
+        # In the grace period, expired entries are missing here although their
+        # targets are still in use. A gateway that took this list as complete
+        # would have no target left.
         fresh = (
             bool(follower.revision)
             and not follower.failing_since_ms
             and not self._roster.is_in_doubt(clock.boot_ms())
         )
         positions = {kind: self._known_position(kind) for kind in self.known}
-        # The message has one era per kind: a revision of a former era would
-        # be read as one of the current era.
+        # The message has one era per kind: the receiver would read a revision
+        # of a former era as one of the current era.
         objects = {
             kind: {
                 name: (record.spec, record.created, record.revision)
@@ -497,7 +504,7 @@
 
 
 class _Sink:
-    """Keeps the objects of one kind, and passes them on."""
+    """Stores the objects of one kind, and applies each of them."""
 
     def __init__(
         self,
--- a/packages/radishd/src/radishd/process/engine.py
+++ b/packages/radishd/src/radishd/process/engine.py
@@ -1,4 +1,4 @@
-"""Orders to one engine, and its own word on itself."""
+"""Client of one engine: its state, and orders to load and unload adapters."""
 
 import dataclasses
 import json
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says of itself."""
+    """State that an engine reports."""
 
     incarnation: str
     resident: frozenset[str]
 
 
 class Engine:
-    """The HTTP port of one engine."""
+    """Client of the HTTP port of one engine."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
             )
 
     async def get_state(self) -> result.Outcome[EngineState]:
-        """Asks which adapters are resident, in which incarnation."""
+        """Returns the resident adapters and the incarnation."""
         response = await self._call(
             "GET", "/v1/models", {}, self._call_timeout_s
         )
@@ -83,11 +83,11 @@
 
         Args:
             adapter: ``name@version``, its name at the engine.
-            source: Where the weight store keeps it.
+            source: Its location in the weight store.
             order: Fencing number.
 
         Returns:
-            The incarnation that answers, or why that is not known.
+            The incarnation that answered, or why the order failed.
         """
         body = {
             "lora_name": adapter,
@@ -106,7 +106,7 @@
             order: Fencing number.
 
         Returns:
-            The incarnation that answers, or why that is not known.
+            The incarnation that answered, or why the order failed.
         """
         body = {"lora_name": adapter, "fencing_number": order}
         return await self._order(
@@ -114,10 +114,11 @@
         )
 
     async def raise_fence(self, order: int) -> None:
-        """Tells the engine that orders below a number are old.
+        """Makes the engine reject orders below a fencing number.
 
-        The order is to unload nothing; an engine that checks numbers takes
-        the number from it, any other answers that it does not hold it.
+        The order unloads an adapter with an empty name. An engine that checks
+        fencing numbers adopts the number; any other engine answers that the
+        adapter is not resident.
         """
         await self.unload("", order)
 
--- a/packages/radishd/src/radishd/process/fleet_socket.py
+++ b/packages/radishd/src/radishd/process/fleet_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket between gateways and the processes beside engines."""
+"""The UDP socket of gateways and sidecars."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -32,7 +32,7 @@
         Args:
             socket: The socket.
             metrics: Where bytes are counted.
-            handler: Given each datagram that can be read.
+            handler: Called with each valid datagram and its sender.
         """
         self._socket = socket
         self._metrics = metrics
@@ -44,8 +44,8 @@
             try:
                 data, (host, port) = await self._socket.receive()
             except anyio.BrokenResourceError:
-                # A peer's closed port answers with an error that says
-                # nothing about this socket.
+                # A datagram to a closed port of a peer causes an error here;
+                # this socket remains usable.
                 continue
             size_bytes = len(data) + UDP_IP_HEADER_BYTES
             self._metrics.control_bytes.add({"direction": "in"}, size_bytes)
@@ -58,7 +58,7 @@
     async def send(
         self, address: Address, datagram: fleet_wire.Datagram
     ) -> None:
-        """Sends one datagram; one that cannot be sent is lost like any."""
+        """Sends one datagram; a failed send counts as datagram loss."""
         await self.send_all((address,), datagram)
 
     async def send_all(
@@ -66,8 +66,8 @@
     ) -> None:
         """Sends the same datagram to several peers, encoded once.
 
-        Encoding is most of what a send costs; done for each peer, it would
-        make the cost of a word grow with the fleet.
+        Encoding is most of the cost of a send; encoding for each peer would
+        multiply that cost by the size of the fleet.
         """
         data = fleet_wire.encode(datagram)
         size_bytes = len(data) + UDP_IP_HEADER_BYTES
@@ -91,7 +91,7 @@
     Args:
         address: ``ip:port``.
         metrics: Where bytes are counted.
-        handler: Given each datagram.
+        handler: Called with each valid datagram and its sender.
     """
     host, port = settings_lib.split_address(address)
     socket = await anyio.create_udp_socket(local_host=host, local_port=port)
--- a/packages/radishd/src/radishd/process/follow.py
+++ b/packages/radishd/src/radishd/process/follow.py
@@ -1,7 +1,8 @@
-"""Follows one kind of the store's objects: a list, then watches.
+"""Follows one kind of object in the store: a list, then watches.
 
-A watch that hears nothing may have been forgotten by the store or cut off
-silently, so it is bounded; one whose history is gone begins with a new list.
+The store may forget a watch, or the connection may fail without an error, so
+each watch is bounded in time. A watch whose history has expired is replaced by
+a new list.
 """
 
 from collections.abc import Callable
@@ -18,20 +19,20 @@
 from radishd.process import stored
 
 MS_PER_S = 1_000
-# Pause after a failed call, doubled up to the maximum and spread at random:
-# the store counts refused calls too.
+# Exponential backoff with jitter after failed calls: the store counts rejected
+# calls too.
 RETRY_FIRST_MS = 100
 RETRY_MAX_MS = 800
-# How long a watch waits that only asks whether the store answers: one that
-# waited longer would tell of its return that much later.
+# Wait time of a watch that only checks whether the store answers. A longer
+# wait would delay the detection of the end of an outage.
 PROBE_WAIT_MS = 50
 
 
 class Sink(typing.Protocol):
-    """Receives what a follower reads."""
+    """Receives the objects that a follower reads."""
 
     def replace_all(self, batch: stored.Batch) -> None:
-        """Receives all objects."""
+        """Receives all objects of the kind."""
 
     def changes(self, batch: stored.Batch) -> None:
         """Receives changed objects."""
@@ -41,8 +42,8 @@
     """Follows one kind of object.
 
     Attributes:
-        failing_since_ms: Since when the store does not answer, 0 if it does.
-        revision: Revision read last, 0 before a list.
+        failing_since_ms: When the store stopped answering, 0 if it answers.
+        revision: Store revision read last, 0 before a list.
         era: Store era of that revision.
         read_position: Newest position read; unlike ``revision``, not reset
             before a new list.
@@ -59,17 +60,18 @@
         coalesce_ms: int,
         on_lost: Callable[[str], None] = lambda kind: None,
     ) -> None:
-        """Makes a follower that has read nothing.
+        """Creates a follower that has read nothing.
 
         Args:
             store: The store.
             kind: Kind of object.
-            sink: Takes what is read.
-            log: Where a lost and regained store is logged.
+            sink: Receives the objects.
+            log: Where store outages are logged.
             wait_ms: How long one watch waits.
-            coalesce_ms: Pause after changes, in which further ones gather:
-                each answer of a watch is a call that is paid for.
-            on_lost: Called when the store stops answering.
+            coalesce_ms: Delay after changes before the next watch, which then
+                returns further changes together: each answer of a watch is a
+                billed call.
+            on_lost: Called with the kind when the store stops answering.
         """
         self._store = store
         self._kind = kind
@@ -89,15 +91,15 @@
         self._is_call_short = False
 
     def restart(self) -> None:
-        """Begins with a new list, when what was read is not trusted."""
+        """Begins with a new list, when the objects read may be outdated."""
         self.revision = 0
         self._cancel_call()
 
     def renew(self) -> None:
-        """Asks again at once, when the watch under way may hang.
+        """Replaces the current watch, which may hang, by a probe.
 
-        A list or a probe goes on: it ends soon in any case, and calls that
-        cut each other short would never end while the store is slow.
+        A list or probe in progress continues: it returns soon in any case, and
+        calls that cancel each other would never complete on a slow store.
         """
         self._probe_requested = True
         if not self._is_call_short:
@@ -128,7 +130,7 @@
                 )
         finally:
             self._is_call_short = False
-        # A watch that ends while a new list is asked for is not trusted.
+        # A watch is ignored if ``restart`` has requested a new list meanwhile.
         if lists or self.revision:
             await self._handle_answer(answer, listed=lists)
 
--- a/packages/radishd/src/radishd/process/kept_crashes.py
+++ b/packages/radishd/src/radishd/process/kept_crashes.py
@@ -1,8 +1,8 @@
-"""What the store keeps of requests that end targets.
+"""Persistence of crash records in the store.
 
-Gateways know them in memory. Where all restart at once nobody could tell the
-next ones, and the request would end as many targets again before it is
-refused.
+Gateways keep crash records in memory. If all of them restart at once, none
+could report the records to the others, and a quarantined request would crash as
+many targets again before it is rejected.
 """
 
 from collections.abc import Callable
@@ -18,18 +18,19 @@
 from radishd.process import decision_log
 
 MS_PER_S = 1_000
-# Pause after a call that failed, doubled up to the maximum; calls are paid
-# for, and other gateways tell what is kept here in the meantime.
+# Exponential backoff after failed calls. It may be long: calls are billed, and
+# other gateways report the same records in the meantime.
 RETRY_FIRST_MS = 500
 RETRY_MAX_MS = 30_000
-# Cases that wait to be written; one that does not fit is told by gateways.
+# Records waiting to be written. A record that does not fit is not stored, but
+# gateways still report it to each other.
 MAX_PENDING_RECORDS = 64
 
 ApplyRecords = Callable[[Iterable[crash_evidence.Record]], None]
 
 
 class KeptCrashes:
-    """Reads records as the gateway starts, and writes its own."""
+    """Reads crash records at the gateway's start, and writes new ones."""
 
     def __init__(
         self,
@@ -37,12 +38,12 @@
         apply_records: ApplyRecords,
         log: decision_log.DecisionLog,
     ) -> None:
-        """Starts with nothing read and nothing to write.
+        """Starts without records.
 
         Args:
             store: The platform's store.
-            apply_records: Given what is read.
-            log: Where it is logged.
+            apply_records: Called with the records that were read.
+            log: Where reads and writes of records are logged.
         """
         self._store = store
         self._apply_records = apply_records
@@ -51,19 +52,19 @@
         self._wake = anyio.Event()
 
     def keep(self, record: crash_evidence.Record) -> None:
-        """Has a record written as soon as the store takes it."""
+        """Queues a record to be written to the store."""
         if len(self._pending) >= MAX_PENDING_RECORDS:
             self._log.write(
                 "crash_record_not_kept", fingerprint=record.fingerprint
             )
             return
-        # Two gateways that saw the same crash write the same object.
+        # Gateways that observed the same crash write the same object.
         name = f"{record.fingerprint}-{len(record.observations)}"
         self._pending[name] = record
         self._wake.set()
 
     async def run(self) -> None:
-        """Reads what is kept, then writes, until cancelled."""
+        """Reads stored records, then writes new ones until cancelled."""
         await self._read()
         while True:
             await self._wake.wait()
--- a/packages/radishd/src/radishd/process/load_requests.py
+++ b/packages/radishd/src/radishd/process/load_requests.py
@@ -1,7 +1,7 @@
-"""What this gateway tells the processes beside engines: uses, waits, copies.
+"""Demand that a gateway sends to sidecars: uses, load requests, copies.
 
-Each word says all that is used and waited for at one engine, so a word that
-is lost costs only the time to the next one.
+Each message contains the entire demand for one engine, so a lost message only
+costs the time until the next one.
 """
 
 from collections.abc import Awaitable
@@ -17,35 +17,35 @@
 from radishd.process import decision_log
 
 MS_PER_S = 1_000
-# Words that others wait for are gathered this long.
+# Delay of urgent messages, so that several changes share one message.
 URGENT_DELAY_MS = 15
-# Where nothing is used or wanted every third regular word is enough for this
-# gateway to stay known there.
+# Without any demand, a message every third turn is enough for a sidecar not to
+# forget this gateway.
 IDLE_TURN_INTERVAL = 3
 
 SendDemand = Callable[[roster_lib.Member], Awaitable[None]]
 
 
 class LoadRequest:
-    """The load that one request waits for.
+    """The adapter load that one request waits for.
 
     Attributes:
         adapter: The adapter.
-        due_at_ms: When it must be sent to be answered in time.
-        home: Where it is to be loaded, None while nowhere.
+        due_at_ms: When the request must be sent to be answered in time.
+        home: Engine that is to load the adapter, None while none is chosen.
     """
 
     __slots__ = ("adapter", "due_at_ms", "home")
 
     def __init__(self, adapter: str, due_at_ms: int) -> None:
-        """Starts without a home."""
+        """Starts without a chosen engine."""
         self.adapter = adapter
         self.due_at_ms = due_at_ms
         self.home: roster_lib.Member | None = None
 
 
 class LoadRequests:
-    """Uses and wishes of all requests of this gateway, by engine."""
+    """Demand of all requests of this gateway, by engine."""
 
     def __init__(
         self,
@@ -53,12 +53,13 @@
         log: decision_log.DecisionLog,
         send_demand: SendDemand,
     ) -> None:
-        """Starts with none.
+        """Starts without demand.
 
         Args:
-            placement: Learns of load requests before the engine's next word.
-            log: Where a wish for a load is logged.
-            send_demand: Sends a word to the process beside an engine.
+            placement: Records load requests before the engine's next status
+                update shows them.
+            log: Where load requests are logged.
+            send_demand: Sends the demand for an engine to its sidecar.
         """
         self._placement = placement
         self._log = log
@@ -70,21 +71,21 @@
     def collect(
         self, address: str
     ) -> tuple[tuple[adapter_keeper.Use, ...], tuple[adapter_keeper.Want, ...]]:
-        """Returns what is to be sent of one engine now."""
+        """Returns the demand to send for one engine now."""
         return self._demand_table(address).take(clock.boot_ms())
 
     def is_due(self, member: roster_lib.Member, turn: int) -> bool:
-        """Whether the regular word of this turn is to be told.
+        """Whether the demand for an engine is to be sent in this turn.
 
         Args:
-            member: An engine.
+            member: The engine.
             turn: Number of the turn.
         """
         if self._demand_table(member.listing.address).has_news:
             return True
         if not self._placement.is_heard(member, clock.boot_ms()):
-            # It may have started after the last word, and knows neither this
-            # gateway nor which start of its engine is listed.
+            # The sidecar may have started after the last message, and know
+            # neither this gateway nor the listed incarnation of its engine.
             return True
         return not turn % IDLE_TURN_INTERVAL
 
@@ -102,21 +103,21 @@
         self._demand_table(member.listing.address).began(adapter)
 
     def ended(self, member: roster_lib.Member, adapter: str) -> None:
-        """Counts a request that an engine has ended."""
+        """Counts a request that has completed at an engine."""
         is_idle = self._demand_table(member.listing.address).ended(adapter)
         view = self._placement.view_of(member)
         if is_idle and view is not None and view.pending:
-            # Loads wait there for the place of an adapter that is not used.
+            # Loads there wait for the adapter slot of an unused adapter.
             self._send_soon(member)
 
     async def apply_choice(
         self, load_request: LoadRequest, choice: placement_lib.Choice
     ) -> None:
-        """Applies what was chosen for a request.
+        """Applies a placement choice to the load request of a request.
 
         Args:
             load_request: The load that the request waits for.
-            choice: What was chosen for it now.
+            choice: The current choice for the request.
         """
         member = choice.load
         if choice.send is not None:
@@ -153,8 +154,8 @@
             return
         table = self._demand_table(home.listing.address)
         if table.waits_no_more(load_request.adapter, load_request.due_at_ms):
-            # Unheard, the load would be for nobody and keep a place from
-            # those that wait.
+            # Otherwise the engine would load the adapter for no request, in an
+            # adapter slot that waiting requests need.
             self._send_soon(home)
 
     def _request_copy(self, member: roster_lib.Member, adapter: str) -> None:
@@ -172,22 +173,22 @@
         )
 
     def notify_new_incarnation(self, member: roster_lib.Member) -> None:
-        """Has a new start of an engine told of at once.
+        """Sends the demand for a new incarnation of an engine at once.
 
-        The process beside an engine that has just started learns from this
-        word which start that is and which base model it needs. Left to the
-        next regular word, every engine would stand empty until then after a
-        power cut.
+        From this message, the sidecar of an engine that has just started
+        receives the listed incarnation and the base model to load. With the
+        next regular message instead, every engine would be empty until then
+        after a power cut.
         """
         self._send_soon(member)
 
     def _send_soon(self, member: roster_lib.Member) -> None:
-        """Has a word told soon, together with others of this moment."""
+        """Queues an urgent message, which is sent after a short delay."""
         self._urgent[member.listing.instance] = member
         self._urgent_event.set()
 
     async def send_urgent(self) -> None:
-        """Sends demands that cannot wait for the regular interval."""
+        """Sends demand that cannot wait for the regular interval."""
         while True:
             await self._urgent_event.wait()
             await anyio.sleep(URGENT_DELAY_MS / MS_PER_S)
@@ -197,7 +198,7 @@
                 await self._send_demand(member)
 
     def forget(self, addresses: set[str]) -> None:
-        """Drops what is known of engines that are gone, once it is settled."""
+        """Drops the demand tables of removed engines without requests."""
         for address in list(self._demand_tables):
             if (
                 address not in addresses
--- a/packages/radishd/src/radishd/process/logs.py
+++ b/packages/radishd/src/radishd/process/logs.py
@@ -37,7 +37,7 @@
 
 
 def warn(message: str, **fields: Any) -> None:
-    """Logs something an operator may have to look at."""
+    """Logs an event that an operator may have to check."""
     _LOGGER.warning(message, extra=fields)
 
 
@@ -47,6 +47,6 @@
 
 
 def error(message: str, code: result.Code, **fields: Any) -> None:
-    """Logs a failure of ours with its number."""
+    """Logs a failure with the number and name of its result code."""
     fields |= {"code": code.number, "code_name": code.name}
     _LOGGER.error(message, extra=fields)
--- a/packages/radishd/src/radishd/process/notifier.py
+++ b/packages/radishd/src/radishd/process/notifier.py
@@ -1,23 +1,23 @@
 """Wakes the requests that wait for an adapter, and no others.
 
-Words of engines' processes change what is believed of residency tens of times
-a second. Had each change every waiting request choose anew, a gateway's
-processor time would grow with requests times engines. A request is woken where
-its own adapter has come, and looks by itself now and then for all else.
+Status updates of sidecars change the known residency tens of times a second. If
+each change made every waiting request choose a target again, the gateway's CPU
+time would grow with requests times engines. A request is woken when its own
+adapter has been loaded, and polls for all other changes.
 """
 
 import anyio
 
 
 class Notifier:
-    """The requests of one gateway that wait."""
+    """The waiting requests of one gateway, by adapter."""
 
     def __init__(self) -> None:
-        """Starts with none."""
+        """Starts without waiting requests."""
         self._waiting: dict[str, set[anyio.Event]] = {}
 
     async def wait(self, adapter: str) -> None:
-        """Waits until there is news of an adapter, or of everything.
+        """Waits until the adapter's or all requests are notified.
 
         Args:
             adapter: The adapter.
@@ -38,6 +38,6 @@
             event.set()
 
     def notify_all(self) -> None:
-        """Wakes every request, when more than residency has changed."""
+        """Wakes every request, after a change other than of residency."""
         for adapter in list(self._waiting):
             self.notify(adapter)
--- a/packages/radishd/src/radishd/process/pause_detector.py
+++ b/packages/radishd/src/radishd/process/pause_detector.py
@@ -1,4 +1,4 @@
-"""Notices that this process stood still: frozen, suspended or starved."""
+"""Detects pauses of this process: frozen, suspended or starved of CPU."""
 
 from collections.abc import Callable
 
@@ -7,20 +7,20 @@
 from radishd.process import clock
 
 TICK_MS = 100
-# A tick this late means that the VM was frozen or suspended; a busy loop is
-# late by tens of milliseconds.
+# A busy event loop delays a tick by tens of milliseconds; a delay above this
+# means that the VM was frozen or suspended.
 MIN_PAUSE_MS = 700
 MS_PER_S = 1_000
 
 
 async def watch(on_pause: Callable[[int], None]) -> None:
-    """Calls back after each standstill.
+    """Calls back after each process pause.
 
-    What was believed before it is old: leases have passed, connections are
-    closed, targets have gone.
+    State from before a pause is outdated: leases have expired, connections are
+    closed, targets are gone.
 
     Args:
-        on_pause: Given how long it was.
+        on_pause: Called with the length of the pause in milliseconds.
     """
     before_ms = clock.boot_ms()
     while True:
--- a/packages/radishd/src/radishd/process/rate_limits.py
+++ b/packages/radishd/src/radishd/process/rate_limits.py
@@ -152,13 +152,13 @@
         )
 
     def reserve(self, member: roster_lib.Member) -> Booking | None:
-        """Books a request to a target, None if it may not be sent now."""
+        """Reserves a request to a target, None if it may not be sent now."""
         return self._limits.book(member.listing.start, clock.boot_ms())
 
     def is_reserved(
         self, reservation: Booking | None, member: roster_lib.Member
     ) -> bool:
-        """Whether a booking is for a target and has not expired."""
+        """Whether a reservation is for a target and has not expired."""
         return (
             reservation is not None
             and reservation.start == member.listing.start
@@ -166,7 +166,7 @@
         )
 
     def release(self, reservation: Booking | None) -> None:
-        """Gives back a booking whose request was not sent."""
+        """Releases a reservation whose request was not sent."""
         if reservation is not None:
             self._limits.give_back(reservation, clock.boot_ms())
 
--- a/packages/radishd/src/radishd/process/settings.py
+++ b/packages/radishd/src/radishd/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, read from YAML and checked whole."""
+"""Settings of one process, read from YAML and validated as a whole."""
 
 import dataclasses
 import enum
@@ -18,8 +18,8 @@
     frozen=True,
     slots=True,
     kw_only=True,
-    # Built with the whole only: validators of its parts alone would cost each
-    # process memory that is never used.
+    # Only the validator of the whole is built: validators of single parts would
+    # cost each process memory without ever being used.
     config=pydantic.ConfigDict(extra="forbid", defer_build=True),
 )
 
@@ -32,7 +32,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a process is."""
+    """Role of a process."""
 
     ENTRY = "entry"
     TARGET = "target"
@@ -42,10 +42,10 @@
 
 @_settings()
 class PlatformSettings:
-    """Where the platform is.
+    """Access to the platform.
 
     Attributes:
-        url: Object API and VM list.
+        url: Base URL of the object API and the VM list.
         call_timeout_ms: Timeout of one call.
         watch_ms: How long one watch waits.
         vms_poll_ms: How long one watch of the VM list waits.
@@ -67,12 +67,12 @@
         control: Where probes and digests are sent from, UDP.
         max_body_bytes: Largest request body.
         max_header_bytes: Largest request header section.
-        max_connections: Callers' connections at once.
-        max_in_flight: Requests at once.
-        probe_timeout_ms: How long a probe may take before it is given up.
-        connect_timeout_ms: How long connecting to a target may take.
-        unready_ms: How long a drain keeps serving while it tells the
-            balancer that it is not ready.
+        max_connections: Maximum number of concurrent connections of callers.
+        max_in_flight: Maximum number of concurrent requests.
+        probe_timeout_ms: Timeout of a probe.
+        connect_timeout_ms: Timeout of connecting to a target.
+        unready_ms: How long a draining process still accepts requests while it
+            reports to the balancer that it is not ready.
         drain_ms: How long a drain waits for requests in flight.
     """
 
@@ -99,22 +99,24 @@
         kind: Engine or plain service.
         listen: Where entry daemons connect, TCP, and probe, UDP.
         admin: Where health, metrics and status are served.
-        url: The engine or plain service itself.
+        url: URL of the engine or plain service itself.
         slot_count: Adapter slots of the engine.
-        max_running: Requests the target runs at once.
-        max_queued: Requests queued at most.
-        max_parallel_loads: Loads ordered at once.
-        max_connections: Connections of other processes at once.
-        max_streams: Streams of one connection at once.
-        poll_ms: How often the engine is asked for its state.
-        load_timeout_ms: How long a load may take.
-        run_timeout_ms: How long the target may be silent in an answer.
-        resume_ms: How long a run waits for a reader that was cut off.
-        keep_bytes: Bytes of one answer kept for its key.
-        keep_total_bytes: Bytes of all answers kept for their keys.
-        max_answer_bytes: Largest answer that is not a stream.
-        quarantine_ms: How long after a start unknown keys are not run.
-        site_loads_per_s: The weight store's rate; soft, see the design note.
+        max_running: Request slots of the target.
+        max_queued: Maximum number of queued requests.
+        max_parallel_loads: Maximum number of concurrent loads.
+        max_connections: Maximum number of connections of other processes.
+        max_streams: Maximum number of concurrent streams of a connection.
+        poll_ms: Interval at which the engine's state is polled.
+        load_timeout_ms: Timeout of a load.
+        run_timeout_ms: Idle timeout of the target's response.
+        resume_ms: How long a run waits for a disconnected reader.
+        keep_bytes: Bytes of one response kept for its idempotency key.
+        keep_total_bytes: Bytes of all responses kept for idempotency keys.
+        max_answer_bytes: Maximum size of a response that is not a stream.
+        quarantine_ms: How long after a start requests with unknown idempotency
+            keys are not run.
+        site_loads_per_s: Load rate of the weight store; a soft limit, see the
+            design note.
         drain_ms: How long a drain waits for runs in flight.
     """
 
@@ -144,30 +146,31 @@
 
 @_settings()
 class GatewaySettings:
-    """Settings of the gateway role: an entry VM before registered targets.
+    """Settings of the gateway role, which forwards to registered targets.
 
     Attributes:
         listen: Where callers connect.
-        readiness: Where the balancer asks whether it is ready.
-        peers: Where other gateways ask for what is known here.
+        readiness: Where the balancer checks readiness.
+        peers: Where other gateways request the objects known here.
         control: Where datagrams are sent from and received, UDP.
-        sidecar_port: UDP port of the process beside each engine.
+        sidecar_port: UDP port of every sidecar.
         admin: Where metrics and status are served.
-        retry_ratio: Extra sends that a request earns, over all gateways.
-        retry_extra: Fixed allowance of extra sends, over all gateways.
-        retry_window_ms: Window of the two.
-        lapse_grace_ms: How long after an outage of the list a target that is
-            missing from it is still believed.
-        heartbeat_ms: How often targets renew their entries in the list, 0 if
-            that is not known.
-        shutdown_ms: Time between the first signal and the forced end.
-        leaving_ms: How soon a target that is listed as leaving gets no more
-            work.
-        configuration_ms: How soon a new configuration must be in force.
+        retry_ratio: Retries allowed per request, over all gateways.
+        retry_extra: Fixed number of retries allowed in addition, over all
+            gateways.
+        retry_window_ms: Window of both retry allowances.
+        lapse_grace_ms: Grace period after a store outage, in which a target
+            missing from the list stays in use.
+        heartbeat_ms: Interval at which targets renew their entries in the list,
+            0 if it is unknown.
+        shutdown_ms: Time between the first signal and the forced exit.
+        leaving_ms: Time after which a target listed as draining must get no
+            more requests.
+        configuration_ms: Time after which a new configuration must be in force.
         usage_window_ms: Sliding window of usage caps.
-        usage_overage: Part of the limit of a window by which all gateways
+        usage_overage: Fraction of a window's limit by which all gateways
             together may exceed it.
-        usage_tolerance: Cost by which they may exceed it besides, in units
+        usage_tolerance: Cost by which they may exceed it in addition, in units
             of the cap.
     """
 
@@ -192,13 +195,13 @@
 
 @_settings()
 class SidecarSettings:
-    """Settings of the sidecar role: the process beside one engine.
+    """Settings of the sidecar role, which manages one engine's adapters.
 
     Attributes:
         engine: ``ip:port`` of the engine.
         control: Where datagrams are sent from and received, UDP.
         admin: Where metrics and status are served.
-        thaw_ms: How long no order is given after this process stood still.
+        thaw_ms: How long after a process pause no order is sent to the engine.
     """
 
     engine: Address
@@ -212,16 +215,16 @@
     """Settings of one process.
 
     Attributes:
-        role: Entry or target.
+        role: Role of the process.
         name: Name of the VM; for a target also its name in the document.
         failure_domain: ``region/domain``.
-        platform: Where the platform is.
-        entry: Required for the role entry.
+        platform: Access to the platform.
+        entry: Settings of the entry role, the defaults if omitted.
         target: Required for the role target.
         gateway: Required for the role gateway.
         sidecar: Required for the role sidecar.
-        seeds: Some target processes, asked for the configuration when this
-            process starts while the object API is down.
+        seeds: Addresses of processes from which the configuration is requested
+            if this process starts in a store outage.
         log_level: Lowest level that is logged.
     """
 
@@ -251,7 +254,7 @@
         raw: What the YAML parser returned.
 
     Returns:
-        The settings, or every problem with path, value and mend.
+        The settings, or every problem with its path, value and remedy.
     """
     try:
         settings = _SETTINGS.validate_python(raw)
--- a/packages/radishd/src/radishd/process/signals.py
+++ b/packages/radishd/src/radishd/process/signals.py
@@ -1,4 +1,4 @@
-"""Signals: the first ends with a drain, the second at once; one reloads."""
+"""Signals: SIGTERM and SIGINT drain, then exit; SIGHUP reloads settings."""
 
 from collections.abc import Callable
 import os
@@ -16,18 +16,18 @@
 
 
 class ReloadHook:
-    """Whom to tell when the settings file has been read again."""
+    """Holds the callback for reloaded settings."""
 
     def __init__(self) -> None:
-        """Starts with nobody."""
+        """Starts without a callback."""
         self.on_reload: OnReload | None = None
 
 
 async def stop_on_signal(stop: anyio.Event) -> None:
     """Sets an event on the first SIGTERM or SIGINT.
 
-    A second signal ends the process at once: the operator has decided that
-    what is in flight may be cut.
+    A second signal exits the process at once: the operator accepts that
+    requests in flight are cut.
 
     Args:
         stop: Set on the first signal.
@@ -42,13 +42,13 @@
 
 
 async def reload_on_signal(path: pathlib.Path, reload_hook: ReloadHook) -> None:
-    """Reads the settings again on each SIGHUP, which ends no process.
+    """Reloads the settings on each SIGHUP, without a restart.
 
-    Settings that cannot be used are logged, and those in force stay.
+    Invalid settings are logged, and the current settings stay in force.
 
     Args:
         path: The settings file.
-        reload_hook: Whom to tell.
+        reload_hook: Holds the callback for the new settings.
     """
     with anyio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
--- a/packages/radishd/src/radishd/process/store.py
+++ b/packages/radishd/src/radishd/process/store.py
@@ -1,4 +1,4 @@
-"""The platform's object API and VM list, over HTTP."""
+"""Client of the platform's object API and VM list, over HTTP."""
 
 import dataclasses
 import json
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredObject:
-    """One object; revision 0 stands for one that does not exist."""
+    """One object; revision 0 means that it does not exist."""
 
     value: bytes
     revision: int
@@ -42,10 +42,10 @@
     """One VM of the platform's list.
 
     Attributes:
-        name: Its name, which its processes have in their settings.
-        control: Where it takes datagrams, ``ip:port``.
+        name: Name of the VM, which its processes have in their settings.
+        control: Where it receives datagrams, ``ip:port``.
         failure_domain: ``region/domain``.
-        leaving: Whether the platform is about to take it away.
+        leaving: Whether the platform is about to remove it.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
 
 class Store:
-    """Calls of the platform; every failure is a value."""
+    """Client of the platform; failures are returned, not raised."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
             watch: Wait until its revision differs from this one.
 
         Returns:
-            The object, ``ABSENT``, or ``UNCHANGED`` after a watch in vain.
+            The object, ``ABSENT``, or ``UNCHANGED`` if a watch timed out.
         """
         path = f"/objects/{urllib.parse.quote(name)}"
         wait_ms = 0
@@ -146,11 +146,11 @@
         Args:
             name: Its name.
             value: Its new value.
-            expected: Revision it must still have, 0 to create it, None to
-                write in any case.
+            expected: Revision that the object must still have, 0 to create
+                it, None to write unconditionally.
 
         Returns:
-            Whether it took effect, as far as is known.
+            Whether the write took effect, as far as is known.
         """
         headers = {}
         if expected == 0:
@@ -266,15 +266,15 @@
 async def catch_up(
     store: Store, held: holder_lib.Held, root: commit_lib.Root
 ) -> result.Outcome[holder_lib.Held]:
-    """Reads what is needed to hold the root's version.
+    """Reads the snapshot or commits needed to reach the root's version.
 
     Args:
         store: The object API.
-        held: What is held.
-        root: What is in force.
+        held: The version held.
+        root: Root of the version in force.
 
     Returns:
-        The root's version, or what was held if that is not older.
+        The root's version, or the version held if that is not older.
     """
     while True:
         plan = holder_lib.plan_catch_up(held, root)
@@ -301,13 +301,13 @@
 async def read_chain(
     store: Store, write_id: str, *, after: int, limit: int = 100_000
 ) -> result.Outcome[tuple[commit_lib.Commit, ...]]:
-    """Walks the commits back from one to a version.
+    """Reads the chain of commits backwards down to a version.
 
     Args:
         store: The object API.
-        write_id: Where to start, empty for nothing.
-        after: The version that is not read any more.
-        limit: Commits read at most.
+        write_id: Write id of the newest commit, empty for none.
+        after: Version before the oldest commit to return.
+        limit: Maximum number of commits to read.
 
     Returns:
         The commits after ``after``, oldest first.
--- a/packages/radishd/src/radishd/process/supervise.py
+++ b/packages/radishd/src/radishd/process/supervise.py
@@ -1,4 +1,4 @@
-"""Keeps the tasks of a process running: one error never ends the process."""
+"""Restarts failed tasks, so that no single error ends the process."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -8,8 +8,8 @@
 from radishd.process import logs
 from radishd.process import metrics as metrics_lib
 
-# Pause before a task that broke is begun anew, so that one that breaks at
-# once does not take the processor.
+# Delay before a failed task is restarted, so that a task that fails at once
+# does not use up the CPU.
 RESTART_DELAY_MS = 200
 MS_PER_S = 1_000
 
@@ -17,12 +17,12 @@
 async def run_forever(
     name: str, run: Callable[[], Awaitable[None]], metrics: metrics_lib.Metrics
 ) -> None:
-    """Runs a task, and begins it anew whenever it breaks.
+    """Runs a task, and restarts it whenever it fails or returns.
 
     Args:
-        name: Its name, for the log.
+        name: Name of the task, for the log.
         run: The task.
-        metrics: Where breaks are counted.
+        metrics: Where failures are counted.
     """
     while True:
         try:
--- a/packages/radishd/src/radishd/process/usage_caps.py
+++ b/packages/radishd/src/radishd/process/usage_caps.py
@@ -1,6 +1,6 @@
 """Usage caps of client accounts at one gateway: messages, waits, rejections.
 
-What is decided is in ``radishstack.process.usage_books``.
+The decisions are made in ``radishstack.process.usage_books``.
 """
 
 from collections.abc import Awaitable
@@ -21,9 +21,9 @@
 from radishd.process import metrics as metrics_lib
 
 MS_PER_S = 1_000
-# How long a request waits at most for loans of other gateways.
+# Maximum time that a request waits for loans of other gateways.
 LOAN_WAIT_MS = 150
-# By how much the times differ at which several callers are told to return.
+# Minimum Retry-After, and the jitter that is added to it.
 RETRY_MIN_MS = 100
 RETRY_JITTER_MS = 500
 EXPIRE_INTERVAL_MS = 5_000
@@ -46,17 +46,17 @@
         metrics: metrics_lib.Metrics,
         random_source: random.Random,
     ) -> None:
-        """Starts with empty books.
+        """Starts without usage.
 
         Args:
-            rules: How caps are judged.
+            rules: Parameters of the accounting.
             others: Returns the names of the other gateways.
-            gateway_count: Returns how many gateways there are, this one too.
+            gateway_count: Returns the number of gateways, including this one.
             find_cap: Returns the cap of an account by its name.
             send: Sends a message to a gateway.
             log: Where rejections are logged.
             metrics: Where loans and rejections are counted.
-            random_source: Spreads callers that are told to come back.
+            random_source: Randomizes the retry times of rejected callers.
         """
         self._gateway_count = gateway_count
         self._find_cap = find_cap
@@ -72,7 +72,7 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Runs the tasks that answer others, until cancelled."""
+        """Runs the tasks that answer other gateways until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             try:
@@ -85,15 +85,15 @@
         account: client_account.ClientAccount | None,
         token_count: int | None,
     ) -> result.Outcome[usage_books.Booking | None]:
-        """Books a request of an account, or rejects it.
+        """Reserves the cost of an account's request, or rejects the request.
 
         Args:
-            account: On whose behalf it runs, None if for nobody known.
-            token_count: Tokens that the request states.
+            account: Account of the client, None if it is unknown.
+            token_count: Number of tokens that the request states.
 
         Returns:
-            The booking, None where no cap applies, or the rejection with the
-            time at which there is room for a request of this cost.
+            The reservation, None if no cap applies, or the rejection with the
+            time after which there is spare capacity for this cost.
         """
         if account is None or account.cap is None:
             return None
@@ -112,7 +112,7 @@
     def renew_reservation(
         self, reservation: usage_books.Booking | None
     ) -> result.Outcome[usage_books.Booking | None]:
-        """Books a request anew that waited too long since its booking."""
+        """Renews a reservation that has expired or was released."""
         if reservation is None:
             return None
         now_ms = clock.boot_ms()
@@ -128,7 +128,7 @@
         return renewed or self._reject(name, cap, reservation.cost)
 
     def release(self, reservation: usage_books.Booking | None) -> None:
-        """Gives a booking back whose request provably did not run."""
+        """Releases a reservation whose request provably did not run."""
         if reservation is not None:
             self._books.give_back(reservation)
 
@@ -171,8 +171,8 @@
         jitter_ms = round(self._random.uniform(0, RETRY_JITTER_MS))
         return result.Failure(
             result.USAGE_CAP_REACHED,
-            f"account {name} has no room for {cost:g} {cap.unit}s, more in "
-            f"{wait_ms} ms ({self._gateway_count()} gateways)",
+            f"account {name} has no spare capacity for {cost:g} {cap.unit}s, "
+            f"retry in {wait_ms} ms ({self._gateway_count()} gateways)",
             wait_ms + jitter_ms,
         )
 
@@ -195,11 +195,11 @@
             event.set()
 
     def report(self) -> dict[str, dict[str, float]]:
-        """Returns the use of accounts as plain data."""
+        """Returns the usage of accounts as plain data."""
         return self._books.report(clock.boot_ms())
 
     def sweep(self) -> None:
-        """Drops what was not used for long, now and then."""
+        """Expires unused accounting at an interval."""
         now_ms = clock.boot_ms()
         if now_ms - self._expired_at_ms < EXPIRE_INTERVAL_MS:
             return
--- a/packages/radishd/src/radishd/process/web.py
+++ b/packages/radishd/src/radishd/process/web.py
@@ -1,4 +1,4 @@
-"""Uvicorn servers whose life the daemon decides."""
+"""Uvicorn servers that the daemon starts and stops."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -16,20 +16,20 @@
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 START_POLL_S = 0.005
-# The date header of answers is exact to the second.
+# The Date header has a resolution of one second.
 DATE_REFRESH_S = 1.0
 MS_PER_S = 1_000
 
 
 class Server(uvicorn.Server):
-    """A server that leaves signals to the process and does not exit it."""
+    """A server that installs no signal handlers and never exits the process."""
 
     _exit_requested: anyio.Event | None = None
     _should_exit = False
 
     @property
     def should_exit(self) -> bool:
-        """Whether it is to end."""
+        """Whether the server is to stop."""
         return self._should_exit
 
     @should_exit.setter
@@ -43,10 +43,10 @@
         await self._serve(sockets)
 
     async def main_loop(self) -> None:
-        """Waits until it is to end, and renews the date of answers.
+        """Waits until the server is to stop, and refreshes the Date header.
 
-        The library looks ten times a second whether it is to end; the four
-        servers of a gateway would wake an idle process forty times a second.
+        The main loop of Uvicorn polls ten times a second; the four servers of a
+        gateway would wake an idle process forty times a second.
         """
         self._exit_requested = anyio.Event()
         while not await self.on_tick(0):
@@ -60,13 +60,13 @@
 async def reply(
     send: Send, status: int, headers: list[tuple[bytes, bytes]], body: bytes
 ) -> None:
-    """Sends a whole answer.
+    """Sends a complete response.
 
     Args:
-        send: Where it goes.
-        status: Its HTTP status.
-        headers: Its headers, the length included.
-        body: Its body.
+        send: ASGI send function.
+        status: HTTP status.
+        headers: Headers, including the content length.
+        body: Body.
     """
     await send(
         {"type": "http.response.start", "status": status, "headers": headers}
@@ -77,37 +77,37 @@
 class ForwardingProtocol(httptools_impl.HttpToolsProtocol):
     """Keeps the request target as the caller sent it, and drops trailers.
 
-    ASGI splits the target into a path and a query; put together again, an
-    empty query or an unusual escape would reach the target changed. The
-    library adds trailers to the headers: a caller would set headers behind a
-    body that are checked before it.
+    ASGI splits the request target into a path and a query. Joined again, an
+    empty query or an unusual escape would be changed on its way to the target.
+    Uvicorn adds trailers to the headers, so a caller could set headers after
+    the body although they are checked before it.
     """
 
     _headers_complete = False
 
     def on_message_begin(self) -> None:
-        """Begins a request."""
+        """Resets the state for a new request."""
         self._headers_complete = False
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Ends the head of a request."""
+        """Marks the headers of the request as complete."""
         self._headers_complete = True
         super().on_headers_complete()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header; a trailer is dropped."""
+        """Handles a header, and drops a trailer."""
         if not self._headers_complete:
             super().on_header(name, value)
 
     def on_url(self, url: bytes) -> None:
-        """Takes a piece of the request target."""
+        """Handles a part of the request target."""
         super().on_url(url)
         self.scope[TARGET] = self.url
 
 
 def make_server(app: App, host: str, port: int, **options: Any) -> Server:
-    """Makes a server that has not started.
+    """Creates a server that has not started.
 
     Args:
         app: The ASGI application.
@@ -142,11 +142,11 @@
     *,
     task_status: anyio.abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Runs a server until it is told to exit or cancelled.
+    """Runs a server until it is stopped or cancelled.
 
     Args:
         server: The server.
-        task_status: Told once it listens.
+        task_status: Notified once the server listens.
     """
 
     async def report_started() -> None:
@@ -164,13 +164,13 @@
 
 
 def set_idle_timeout(server: Server, timeout_ms: int) -> None:
-    """Changes how long idle connections of callers are kept.
+    """Changes the idle timeout of callers' connections.
 
-    Connections that are open take the new time with their next request.
+    It applies to open connections after their next request.
 
     Args:
         server: The server.
-        timeout_ms: The time.
+        timeout_ms: The timeout.
     """
     timeout_s = timeout_ms / MS_PER_S
     server.config.timeout_keep_alive = timeout_s
--- a/tests/fleet/test_decision_log.py
+++ b/tests/fleet/test_decision_log.py
@@ -8,10 +8,10 @@
 
 
 def test_a_stalled_reader_does_not_block_the_writer() -> None:
-    """Symptom: all requests hang while somebody pages through the logs.
+    """Guards against requests that hang while a pager shows the logs.
 
-    Sequence: the reader of standard output stops reading; the pipe fills.
-    Cause: lines were written with a blocking call.
+    The reader of standard output stops reading and the pipe fills up, so a
+    blocking write would block the process.
     """
     read_fd, write_fd = os.pipe()
     try:
@@ -29,7 +29,7 @@
 
 
 def test_lines_over_the_rate_limit_are_dropped_and_counted() -> None:
-    """The next line that is written tells how many are missing."""
+    """The next written line contains the number of dropped lines."""
     read_fd, write_fd = os.pipe()
     try:
         log = decision_log.DecisionLog(write_fd, vm="edge-1")
--- a/tests/fleet/test_load_requests.py
+++ b/tests/fleet/test_load_requests.py
@@ -1,4 +1,4 @@
-"""What gateways tell the processes beside engines, and when."""
+"""When gateways send demand to sidecars, and which requests they wake."""
 
 import random
 
@@ -27,12 +27,11 @@
 
 
 def test_demand_is_sent_every_turn_without_status_updates() -> None:
-    """Symptom: after a restart of all VMs nothing is loaded for a second.
+    """Guards against a second without loads after a restart of all VMs.
 
-    Sequence: a gateway starts first, its first word meets a process beside
-    an engine that is not up yet. Cause: with nothing to tell, the next word
-    came with the third turn only, and until then that process knew neither
-    the gateway nor which start of its engine was listed.
+    The first message of a gateway is lost if the sidecar has not started yet.
+    Without demand, the next message was sent in the third turn; until then the
+    sidecar knew neither the gateway nor the listed incarnation of its engine.
     """
     placement = placement_lib.Placement(random.Random(1), "north")
     load_requests = load_requests_lib.LoadRequests(placement, _Log(), _tell)
@@ -46,7 +45,7 @@
 
 
 def test_demand_is_sent_every_turn_to_an_engine_in_use() -> None:
-    """Its process believes a word on uses for two seconds only."""
+    """Reported uses expire at the sidecar after two seconds."""
     placement = placement_lib.Placement(random.Random(1), "north")
     load_requests = load_requests_lib.LoadRequests(placement, _Log(), _tell)
     member = _member("i1")
@@ -57,11 +56,11 @@
 
 
 def test_only_requests_for_the_loaded_adapter_are_woken() -> None:
-    """Symptom: two fifths of a gateway's time go to choosing again in vain.
+    """Guards against waking all waiting requests with each status update.
 
-    Sequence: forty words a second change what is believed of residency while
-    requests wait. Cause: each change woke all of them, and each weighed every
-    engine anew, ten times for one send.
+    Forty status updates a second change the known residency. Each woke all
+    waiting requests, and each request evaluated every engine again, ten times
+    per send. This cost two fifths of a gateway's CPU time.
     """
     notifier = notifier_lib.Notifier()
     woken: list[str] = []
--- a/tests/fleet/test_platform_folder.py
+++ b/tests/fleet/test_platform_folder.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the folder that translates."""
+"""Names of the platform's protocols occur only in the platform folder."""
 
 import pathlib
 import re
@@ -6,7 +6,7 @@
 ROOT = pathlib.Path(__file__).parent.parent.parent
 PACKAGES = ROOT / "packages"
 FOLDER = PACKAGES / "radishd/src/radishd/platform"
-# Names of headers, fields and calls that only the platform has.
+# Names of headers, fields and paths that are specific to the platform.
 NAMES = re.compile(
     r"x-attempt-id|x-server-signature|x-target-instance|x-not-executed"
     r"|x-instance-id|x-expected-version|x-deadline-ms|x-prompt-prefix"
@@ -17,7 +17,7 @@
 
 
 def test_platform_names_occur_only_in_the_platform_folder() -> None:
-    """Stand-ins speak for the platform, so they may."""
+    """Stand-ins are exempt, since they simulate the platform."""
     found = []
     for path in PACKAGES.rglob("*.py"):
         if FOLDER in path.parents or "standins" in path.parts:
@@ -29,7 +29,7 @@
 
 
 def test_the_platform_folder_stays_small() -> None:
-    """It translates; what decides belongs outside."""
+    """The folder only translates protocols; decisions belong elsewhere."""
     lines = sum(
         len(path.read_text().splitlines()) for path in FOLDER.glob("*.py")
     )
--- a/tests/fleet/test_store_outage.py
+++ b/tests/fleet/test_store_outage.py
@@ -1,4 +1,4 @@
-"""What is believed of targets around an outage of the platform's store."""
+"""Which targets a gateway uses during and after a store outage."""
 
 import json
 from typing import Any
@@ -61,7 +61,7 @@
 
 
 async def _expire_entries_in_outage(fleet: fixtures.Fleet) -> dict[str, Any]:
-    """Loses the store, lets all entries lapse in it, and brings it back."""
+    """Begins an outage, expires all entries in it, and ends it."""
     specs = _specs(fleet)
     await _start_outage(fleet, fleet.gateway)
     for name in specs:
@@ -72,14 +72,12 @@
 
 
 def test_a_target_leaving_after_an_outage_gets_no_requests() -> None:
-    """Requests reached a target 2,033 ms after it had left; 2,000 are allowed.
-
-    The store was away for eight seconds and all entries lapsed. It came back,
-    the targets registered again, and one of them left: its entry was removed
-    at 37.308 s. All gateways read that by 38.05 s and logged ``target_unlisted
-    now=false``; they gave it up at 39.26 to 39.75 s (``target_lapsed``). For
-    2.5 s after an outage any absence was taken for a lapse, also that of an
-    entry which had been written again since the store was back.
+    """Guards against keeping a removed target in the grace period.
+
+    For 2.5 s after an outage, here of eight seconds, any missing entry was
+    treated as expired, even one written since the outage. Requests reached a
+    target 2,033 ms after it had left, with 2,000 ms allowed: its removal was
+    read within 0.75 s, but it was dropped 1.2 to 1.7 s later.
     """
 
     async def play() -> None:
@@ -98,12 +96,12 @@
 
 
 def test_targets_are_read_as_soon_as_the_store_answers_anything() -> None:
-    """The moment in which lapses are believed began 2.8 s too late.
+    """Guards against waiting for a watch that the store never answers.
 
-    One gateway logged ``store_back kind=config`` at 34.122 s and ``store_back
-    kind=servers`` at 36.899 s: a watch of the targets that the store would
-    never answer was waited for to its end, though the answer to another call
-    had shown that the store was back. Here that end does not come.
+    A gateway ended the outage for the targets 2.8 s later than for the
+    configuration: it waited until the watch of the targets timed out, although
+    the answer to another call had shown the end of the outage. So the grace
+    period began too late. Here the watch does not time out.
     """
 
     async def play() -> None:
@@ -113,7 +111,8 @@
             async with fixtures.running_fleet(engines=0, plain=2) as fleet:
                 followers = fleet.gateway.discovery.followers
                 fleet.store.faults.silent = True
-                # Wakes the watch of the targets, which then hangs.
+                # The store answers the pending watch of the targets; the next
+                # watch hangs.
                 name, spec = next(iter(_specs(fleet).items()))
                 fleet.store.put(TARGETS, name, spec)
                 followers[wire.KIND_CONFIGURATION].restart()
@@ -132,11 +131,11 @@
 
 
 def test_a_cut_watch_does_not_delay_the_removal_of_a_target() -> None:
-    """A target that leaves is used for 2.5 s more, with no outage at all.
+    """Guards against treating one failed call as a store outage.
 
-    The store breaks off one waiting call, as it may at any time, and answers
-    the next one 0.1 s later. A failed call was taken for an outage in which
-    entries lapse, though they outlive several intervals without a renewal.
+    The store may abort a pending watch at any time, and answers the next call
+    0.1 s later. Entries outlive several heartbeat intervals, so none expires in
+    that time; a grace period would keep a removed target in use for 2.5 s.
     """
 
     async def play() -> None:
@@ -155,11 +154,11 @@
 
 
 def test_an_older_peer_view_does_not_restore_a_leaving_target() -> None:
-    """A gateway that knew that a target leaves sends to it again.
+    """Guards against applying objects of a peer that are older than known ones.
 
-    It loses the store and asks a peer, whose view is from before the target
-    said that it leaves. What the peer told was taken as the newest word, and
-    the watch, which goes on after the revision read last, never corrects it.
+    In an outage, the gateway requests objects from a peer whose view predates
+    the draining of a target. The target would be used again, and the watch,
+    which continues after the revision read last, would never correct it.
     """
 
     async def play() -> None:
@@ -182,12 +181,11 @@
 
 
 def test_a_peer_in_its_grace_period_does_not_remove_targets_elsewhere() -> None:
-    """A gateway has no target left while its peer still uses all of them.
+    """Guards against applying the list of a peer that is in its grace period.
 
-    After an outage the peer hears from the store first: its list is empty, as
-    all entries have lapsed, and it keeps the targets for a moment. The other
-    gateway, still without the store, asked it and dropped what the peer did
-    not list.
+    The peer reads the store first after an outage. Its list is empty, since all
+    entries have expired, but it keeps using the targets in the grace period. A
+    gateway still without the store applied that list and dropped all targets.
     """
 
     async def play() -> None:
@@ -209,11 +207,11 @@
 
 
 def test_a_late_watch_answer_counts_as_an_outage() -> None:
-    """All targets are dropped at once although they live.
+    """Guards against dropping all targets after a pause of the store.
 
-    The store stands still for 2.5 s. Entries lapse, and the watch that was
-    under way brings their removal when the store goes on. No call had failed,
-    so nothing told that entries could not be renewed.
+    The store pauses for 2.5 s and entries expire. When it resumes, the pending
+    watch returns their removal. No call has failed, so only the late answer
+    shows that entries could not be renewed.
     """
 
     async def play() -> None:
@@ -222,7 +220,7 @@
             specs = _specs(fleet)
             fleet.store.faults.holds = True
             held_since_ms = clock.boot_ms()
-            # Longer than a watch waits and its answer takes.
+            # Longer than the wait time and the answer of a watch.
             enough_ms = discovery_lib.TARGETS_WATCH_MS + 1_000
             await fleet.until(
                 lambda: clock.boot_ms() > held_since_ms + enough_ms,
@@ -238,11 +236,12 @@
 
 
 def test_a_gateway_started_in_an_outage_keeps_targets_from_a_peer() -> None:
-    """A gateway that was replaced in an outage refuses everything after it.
+    """Guards against dropping targets received from a peer after an outage.
 
-    It has never read the list and uses the targets that a peer told. The store
-    comes back, their entries have lapsed, and as the gateway had read no
-    revision before, all of them passed for written since.
+    A gateway that starts in an outage has read no revision, and uses targets
+    received from a peer. When the store answers, their entries have expired.
+    They were treated as written since the outage, so the gateway dropped all
+    targets and rejected every request.
     """
 
     async def play() -> None:
--- a/tests/fleet/test_store_restored.py
+++ b/tests/fleet/test_store_restored.py
@@ -1,4 +1,4 @@
-"""What gateways know after the platform's store is restored from a copy."""
+"""Which objects gateways use after the store is restored from a copy."""
 
 from typing import Any
 
@@ -102,7 +102,7 @@
 
 
 def test_a_restored_entry_does_not_bring_a_leaving_target_back() -> None:
-    """Guards against a snapshot taken before the target began to leave."""
+    """Guards against a snapshot taken before the target was draining."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
@@ -310,7 +310,7 @@
 
 
 def test_a_removal_does_not_apply_to_another_incarnation() -> None:
-    """Guards against applying a removal to another start of a target."""
+    """Guards against applying a removal to a new incarnation."""
     roster = roster_lib.Roster(2_500)
     roster.upsert(_listing())
     assert roster.remove("i-1", 1_000)
@@ -320,7 +320,7 @@
 def test_a_restored_former_incarnation_does_not_replace_the_running_one() -> (
     None
 ):
-    """Guards against marking the running start as over, and ignoring it."""
+    """Guards against ignoring the running incarnation as an ended one."""
     roster = roster_lib.Roster(2_500)
     roster.upsert(_listing(changed_at=84, born_ms=2))
     roster.begin_grace(1_000)
@@ -333,14 +333,14 @@
 
 
 def test_an_incarnation_registered_at_a_reused_revision_is_used() -> None:
-    """Guards against withholding a new start indefinitely."""
+    """Guards against withholding a new incarnation indefinitely."""
     roster = roster_lib.Roster(2_500)
     roster.upsert(_listing(changed_at=84))
     roster.begin_grace(1_000)
     roster.upsert(_listing(era=2, changed_at=61, born_ms=3))
     (member,) = roster.release_restored(5_000)
     assert member.listing.born_ms == 3
-    # The previous start is not marked as over and may register again.
+    # The previous incarnation is not marked as ended and may register again.
     roster.upsert(_listing(era=2, changed_at=70, born_ms=1))
     assert roster.members["i-1"].listing.born_ms == 1
 
