--- a/packages/radishd/src/radishd/process/usage_caps.py
+++ b/packages/radishd/src/radishd/process/usage_caps.py
@@ -171,8 +171,8 @@
         jitter_ms = round(self._random.uniform(0, RETRY_JITTER_MS))
         return result.Failure(
             result.USAGE_CAP_REACHED,
-            f"account {name} has no spare capacity for {cost:g} {cap.unit}s, "
-            f"retry in {wait_ms} ms ({self._gateway_count()} gateways)",
+            f"account {name} has no room for {cost:g} {cap.unit}s, more in "
+            f"{wait_ms} ms ({self._gateway_count()} gateways)",
             wait_ms + jitter_ms,
         )
 
