--- a/packages/radishd/src/radishd/process/crash_record.py
+++ b/packages/radishd/src/radishd/process/crash_record.py
@@ -1,4 +1,4 @@
-"""Records of crashes as the store keeps them, an object of our own kind."""
+"""Crash records as objects of the store, of a kind defined here."""
 
 from typing import Annotated
 from typing import Any
@@ -10,20 +10,19 @@
 
 from radishd.process import checked
 
-# Kind of the objects.
 KIND = "crashes"
 
 _Text = Annotated[str, pydantic.Field(min_length=1, pattern=r"^[!-~]+$")]
 
 
-class _Observation(checked.Checked):
+class _Observation(checked.StrictModel):
     target: _Text
-    born_ms: checked.Birth
+    born_ms: checked.StartTimeMs
     began_unix_ms: int
     ended_unix_ms: int
 
 
-class _CrashRecord(checked.Checked):
+class _CrashRecord(checked.StrictModel):
     fingerprint: Annotated[str, pydantic.Field(pattern=r"^[0-9a-f]{32}$")]
     observations: Annotated[list[_Observation], pydantic.Field(max_length=64)]
 
@@ -31,12 +30,12 @@
 def encode(
     record: crash_evidence.Record, now_ms: int, unix_ms: int
 ) -> dict[str, Any]:
-    """Encodes what is known against a request, for the store to keep.
+    """Encodes a crash record for the store.
 
     Args:
-        record: What is known.
+        record: The record.
         now_ms: This VM's clock.
-        unix_ms: The wall clock, by which another VM can read it.
+        unix_ms: The wall clock, the reference of the stored times.
     """
     observations = [
         {
@@ -53,21 +52,21 @@
 def decode(
     spec: Any, now_ms: int, unix_ms: int
 ) -> result.Outcome[crash_evidence.Record]:
-    """Decodes what the store keeps of a request.
+    """Decodes a crash record from the store.
 
     Args:
         spec: The object's content.
         now_ms: This VM's clock.
-        unix_ms: The wall clock. A crash that lies in its future by another
-            VM's clock is taken for one of now.
+        unix_ms: The wall clock. Times in its future, which another VM's clock
+            may produce, count as now.
 
     Returns:
-        The record, or what could not be read.
+        The record, or why it is invalid.
     """
     try:
         entry = _CrashRecord.model_validate(spec)
     except ValueError as error:
-        return checked.unreadable("crash", error)
+        return checked.invalid_object("crash", error)
     return crash_evidence.Record(
         entry.fingerprint,
         tuple(
--- a/packages/radishd/src/radishd/process/engine.py
+++ b/packages/radishd/src/radishd/process/engine.py
@@ -1,4 +1,4 @@
-"""Orders to one engine, and its own word on itself."""
+"""Client of one engine: its state, and orders to load and unload adapters."""
 
 import dataclasses
 import json
@@ -14,15 +14,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
-    """What an engine says of itself."""
+class EngineState:
+    """State that an engine reports."""
 
     incarnation: str
     resident: frozenset[str]
 
 
 class Engine:
-    """The HTTP port of one engine."""
+    """Client of the HTTP port of one engine."""
 
     def __init__(
         self,
@@ -55,8 +55,8 @@
                 result.TARGET_FAILED, f"{path}: {type(error).__name__} {error}"
             )
 
-    async def look(self) -> result.Outcome[Seen]:
-        """Asks which adapters are resident, in which incarnation."""
+    async def get_state(self) -> result.Outcome[EngineState]:
+        """Returns the resident adapters and the incarnation."""
         response = await self._call(
             "GET", "/v1/models", {}, self._call_timeout_s
         )
@@ -74,7 +74,7 @@
                 result.TARGET_FAILED, f"/v1/models: {error!r}"
             )
         resident = frozenset(name for name in names if "@" in name)
-        return Seen(_incarnation(response), resident)
+        return EngineState(_incarnation(response), resident)
 
     async def load(
         self, adapter: str, source: str, order: int
@@ -83,11 +83,11 @@
 
         Args:
             adapter: ``name@version``, its name at the engine.
-            source: Where the weight store keeps it.
+            source: Its location in the weight store.
             order: Fencing number.
 
         Returns:
-            The incarnation that answers, or why that is not known.
+            The incarnation that answered, or why the order failed.
         """
         body = {
             "lora_name": adapter,
@@ -106,7 +106,7 @@
             order: Fencing number.
 
         Returns:
-            The incarnation that answers, or why that is not known.
+            The incarnation that answered, or why the order failed.
         """
         body = {"lora_name": adapter, "fencing_number": order}
         return await self._order(
@@ -114,10 +114,11 @@
         )
 
     async def raise_fence(self, order: int) -> None:
-        """Tells the engine that orders below a number are old.
+        """Makes the engine reject orders below a fencing number.
 
-        The order is to unload nothing; an engine that checks numbers takes
-        the number from it, any other answers that it does not hold it.
+        The order unloads an adapter with an empty name. An engine that checks
+        fencing numbers adopts the number; any other engine answers that the
+        adapter is not resident.
         """
         await self.unload("", order)
 
--- a/packages/radishd/src/radishd/process/follow.py
+++ b/packages/radishd/src/radishd/process/follow.py
@@ -1,7 +1,8 @@
-"""Follows one kind of the store's objects: a list, then watches.
+"""Follows one kind of object in the store: a list, then watches.
 
-A watch that hears nothing may have been forgotten by the store or cut off
-silently, so it is bounded; one whose history is gone begins with a new list.
+The store may forget a watch, or the connection may fail without an error, so
+each watch is bounded in time. A watch whose history has expired is replaced by
+a new list.
 """
 
 from collections.abc import Callable
@@ -18,20 +19,20 @@
 from radishd.process import stored
 
 MS_PER_S = 1_000
-# Pause after a failed call, doubled up to the maximum and spread at random:
-# the store counts refused calls too.
+# Exponential backoff with jitter after failed calls: the store counts rejected
+# calls too.
 RETRY_FIRST_MS = 100
 RETRY_MAX_MS = 800
-# How long a watch waits that only asks whether the store answers: one that
-# waited longer would tell of its return that much later.
+# Wait time of a watch that only checks whether the store answers. A longer
+# wait would delay the detection of the end of an outage.
 PROBE_WAIT_MS = 50
 
 
 class Sink(typing.Protocol):
-    """Receives what a follower reads."""
+    """Receives the objects that a follower reads."""
 
-    def whole(self, batch: stored.Batch) -> None:
-        """Receives all objects."""
+    def replace_all(self, batch: stored.Batch) -> None:
+        """Receives all objects of the kind."""
 
     def changes(self, batch: stored.Batch) -> None:
         """Receives changed objects."""
@@ -41,8 +42,8 @@
     """Follows one kind of object.
 
     Attributes:
-        failing_since_ms: Since when the store does not answer, 0 if it does.
-        revision: Revision read last, 0 before a list.
+        failing_since_ms: When the store stopped answering, 0 if it answers.
+        revision: Store revision read last, 0 before a list.
         era: Store era of that revision.
         read_position: Newest position read; unlike ``revision``, not reset
             before a new list.
@@ -56,68 +57,69 @@
         log: decision_log.DecisionLog,
         *,
         wait_ms: int,
-        gather_ms: int,
+        coalesce_ms: int,
         on_lost: Callable[[str], None] = lambda kind: None,
     ) -> None:
-        """Makes a follower that has read nothing.
+        """Creates a follower that has read nothing.
 
         Args:
             store: The store.
             kind: Kind of object.
-            sink: Takes what is read.
-            log: Where a lost and regained store is logged.
+            sink: Receives the objects.
+            log: Where store outages are logged.
             wait_ms: How long one watch waits.
-            gather_ms: Pause after changes, in which further ones gather:
-                each answer of a watch is a call that is paid for.
-            on_lost: Called when the store stops answering.
+            coalesce_ms: Delay after changes before the next watch, which then
+                returns further changes together: each answer of a watch is a
+                billed call.
+            on_lost: Called with the kind when the store stops answering.
         """
         self._store = store
         self._kind = kind
         self._sink = sink
         self._log = log
         self._wait_ms = wait_ms
-        self._gather_ms = gather_ms
+        self._coalesce_ms = coalesce_ms
         self._on_lost = on_lost
         self._random = random.Random()
         self._retry_ms = RETRY_FIRST_MS
-        self._restart: anyio.CancelScope | None = None
+        self._cancel_scope: anyio.CancelScope | None = None
         self.failing_since_ms = 0
         self.revision = 0
         self.era = 0
         self.read_position = store_position.StorePosition()
-        self._doubted = False
-        self._asks_briefly = False
+        self._probe_requested = False
+        self._is_call_short = False
 
     def restart(self) -> None:
-        """Begins with a new list, when what was read is not trusted."""
+        """Begins with a new list, when the objects read may be outdated."""
         self.revision = 0
-        self._begin_anew()
+        self._cancel_call()
 
     def renew(self) -> None:
-        """Asks again at once, when the watch under way may hang.
+        """Replaces the current watch, which may hang, by a probe.
 
-        A list or a probe goes on: it ends soon in any case, and calls that
-        cut each other short would never end while the store is slow.
+        A list or probe in progress continues: it returns soon in any case, and
+        calls that cancel each other would never complete on a slow store.
         """
-        self._doubted = True
-        if not self._asks_briefly:
-            self._begin_anew()
+        self._probe_requested = True
+        if not self._is_call_short:
+            self._cancel_call()
 
-    def _begin_anew(self) -> None:
-        if self._restart is not None:
-            self._restart.cancel()
+    def _cancel_call(self) -> None:
+        if self._cancel_scope is not None:
+            self._cancel_scope.cancel()
 
     async def run(self) -> None:
         """Follows until cancelled."""
         while True:
-            with anyio.CancelScope() as self._restart:
+            with anyio.CancelScope() as self._cancel_scope:
                 while True:
-                    await self._round()
+                    await self._poll_once()
 
-    async def _round(self) -> None:
+    async def _poll_once(self) -> None:
         lists = not self.revision
-        probes = self._doubted or bool(self.failing_since_ms)
-        self._asks_briefly = lists or probes
+        probes = self._probe_requested or bool(self.failing_since_ms)
+        self._is_call_short = lists or probes
         try:
             if lists:
                 answer = await self._store.list(self._kind)
@@ -127,12 +129,12 @@
                     self._kind, self.revision, wait_ms
                 )
         finally:
-            self._asks_briefly = False
-        # A watch that ends while a new list is asked for is not trusted.
+            self._is_call_short = False
+        # A watch is ignored if ``restart`` has requested a new list meanwhile.
         if lists or self.revision:
-            await self._take(answer, listed=lists)
+            await self._handle_answer(answer, listed=lists)
 
-    async def _take(
+    async def _handle_answer(
         self,
         answer: result.Outcome[stored.Batch] | stored.Expired,
         *,
@@ -143,20 +145,20 @@
             self.revision = 0
             return
         if isinstance(answer, result.Failure):
-            await self._failed(answer)
+            await self._handle_failure(answer)
             return
         if not listed and answer.era != self.era:
             # The store was restored during the watch; read a new list.
             self.revision = 0
             return
-        self._answered(answer)
+        self._record_success(answer)
         if listed:
-            self._sink.whole(answer)
+            self._sink.replace_all(answer)
         elif answer.records:
             self._sink.changes(answer)
-            await anyio.sleep(self._gather_ms / MS_PER_S)
+            await anyio.sleep(self._coalesce_ms / MS_PER_S)
 
-    async def _failed(self, failure: result.Failure) -> None:
+    async def _handle_failure(self, failure: result.Failure) -> None:
         if not self.failing_since_ms:
             self.failing_since_ms = clock.boot_ms()
             self._log.must(
@@ -167,11 +169,11 @@
         self._retry_ms = min(self._retry_ms * 2, RETRY_MAX_MS)
         await anyio.sleep(pause_ms / MS_PER_S)
 
-    def _answered(self, answer: stored.Batch) -> None:
+    def _record_success(self, answer: stored.Batch) -> None:
         self.revision = max(self.revision, answer.revision)
         self.era = answer.era
         self.read_position = max(self.read_position, answer.position)
-        self._doubted = False
+        self._probe_requested = False
         self._retry_ms = RETRY_FIRST_MS
         if not self.failing_since_ms:
             return
--- a/packages/radishd/src/radishd/process/logs.py
+++ b/packages/radishd/src/radishd/process/logs.py
@@ -10,19 +10,19 @@
 _LOGGER = logging.getLogger("radishstack")
 
 
-def configure(level: str, **always: str) -> None:
+def configure(level: str, **constant_fields: str) -> None:
     """Sends JSON lines to standard error.
 
     Args:
         level: Lowest level that is logged.
-        **always: Fields of every line, for example ``name``.
+        **constant_fields: Fields of every line, for example ``name``.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         json_logger.JsonFormatter(
             "%(asctime)s %(levelname)s %(message)s",
             rename_fields={"asctime": "at", "levelname": "level"},
-            static_fields=always,
+            static_fields=constant_fields,
         )
     )
     root = logging.getLogger()
@@ -37,7 +37,7 @@
 
 
 def warn(message: str, **fields: Any) -> None:
-    """Logs something an operator may have to look at."""
+    """Logs an event that an operator may have to check."""
     _LOGGER.warning(message, extra=fields)
 
 
@@ -47,6 +47,6 @@
 
 
 def error(message: str, code: result.Code, **fields: Any) -> None:
-    """Logs a failure of ours with its number."""
+    """Logs a failure with the number and name of its result code."""
     fields |= {"code": code.number, "code_name": code.name}
     _LOGGER.error(message, extra=fields)
--- a/packages/radishd/src/radishd/process/rate_limits.py
+++ b/packages/radishd/src/radishd/process/rate_limits.py
@@ -22,7 +22,7 @@
 
 # Minimum Retry-After, and the jitter that is added to it.
 RETRY_MIN_MS = 100
-RETRY_SPREAD_MS = 600
+RETRY_JITTER_MS = 600
 # Maximum number of queued reports. If a report is dropped, the other gateways
 # learn the limit from responses.
 MAX_PENDING_REPORTS = 256
@@ -160,25 +160,25 @@
         )
 
     def reserve(self, member: roster_lib.Member) -> Reservation | None:
-        """Books a request to a target, None if it may not be sent now."""
+        """Reserves a request to a target, None if it may not be sent now."""
         return self._limits.reserve(
             member.listing.incarnation_id, clock.boot_ms()
         )
 
-    def is_booked(
-        self, booking: Reservation | None, member: roster_lib.Member
+    def is_reserved(
+        self, reservation: Reservation | None, member: roster_lib.Member
     ) -> bool:
-        """Whether a booking is for a target and has not expired."""
+        """Whether a reservation is for a target and has not expired."""
         return (
-            booking is not None
-            and booking.incarnation_id == member.listing.incarnation_id
-            and self._limits.is_valid(booking, clock.boot_ms())
+            reservation is not None
+            and reservation.incarnation_id == member.listing.incarnation_id
+            and self._limits.is_valid(reservation, clock.boot_ms())
         )
 
-    def release(self, booking: Reservation | None) -> None:
-        """Gives back a booking whose request was not sent."""
-        if booking is not None:
-            self._limits.release(booking, clock.boot_ms())
+    def release(self, reservation: Reservation | None) -> None:
+        """Releases a reservation whose request was not sent."""
+        if reservation is not None:
+            self._limits.release(reservation, clock.boot_ms())
 
     def rejection(
         self, service: str, members: Iterable[roster_lib.Member]
@@ -198,11 +198,11 @@
             default=0,
         )
         self._metrics.rate_limited.inc({"service": service})
-        spread_ms = round(self._random.uniform(0, RETRY_SPREAD_MS))
+        jitter_ms = round(self._random.uniform(0, RETRY_JITTER_MS))
         return result.Failure(
             result.TARGETS_RATE_LIMITED,
             f"all targets of {service} are at their rate limits",
-            max(RETRY_MIN_MS, wait_ms) + spread_ms,
+            max(RETRY_MIN_MS, wait_ms) + jitter_ms,
         )
 
     def report(self) -> dict[str, float]:
--- a/packages/radishd/src/radishd/process/signals.py
+++ b/packages/radishd/src/radishd/process/signals.py
@@ -1,4 +1,4 @@
-"""Signals: the first ends with a drain, the second at once; one reloads."""
+"""Signals: SIGTERM and SIGINT drain, then exit; SIGHUP reloads settings."""
 
 from collections.abc import Callable
 import os
@@ -15,19 +15,19 @@
 OnReload = Callable[[settings_lib.Settings], None]
 
 
-class Reloads:
-    """Whom to tell when the settings file has been read again."""
+class ReloadHook:
+    """Holds the callback for reloaded settings."""
 
     def __init__(self) -> None:
-        """Starts with nobody."""
+        """Starts without a callback."""
         self.on_reload: OnReload | None = None
 
 
 async def stop_on_signal(stop: anyio.Event) -> None:
     """Sets an event on the first SIGTERM or SIGINT.
 
-    A second signal ends the process at once: the operator has decided that
-    what is in flight may be cut.
+    A second signal exits the process at once: the operator accepts that
+    requests in flight are cut.
 
     Args:
         stop: Set on the first signal.
@@ -41,14 +41,14 @@
             stop.set()
 
 
-async def reload_on_signal(path: pathlib.Path, reloads: Reloads) -> None:
-    """Reads the settings again on each SIGHUP, which ends no process.
+async def reload_on_signal(path: pathlib.Path, reload_hook: ReloadHook) -> None:
+    """Reloads the settings on each SIGHUP, without a restart.
 
-    Settings that cannot be used are logged, and those in force stay.
+    Invalid settings are logged, and the current settings stay in force.
 
     Args:
         path: The settings file.
-        reloads: Whom to tell.
+        reload_hook: Holds the callback for the new settings.
     """
     with anyio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
@@ -59,5 +59,5 @@
                 )
                 continue
             logs.info("reloaded", path=str(path))
-            if reloads.on_reload is not None:
-                reloads.on_reload(settings)
+            if reload_hook.on_reload is not None:
+                reload_hook.on_reload(settings)
--- a/packages/radishd/src/radishd/process/usage_caps.py
+++ b/packages/radishd/src/radishd/process/usage_caps.py
@@ -1,6 +1,6 @@
 """Usage caps of client accounts at one gateway: messages, waits, rejections.
 
-What is decided is in ``radishstack.process.usage_books``.
+The decisions are made in ``radishstack.process.usage_books``.
 """
 
 from collections.abc import Awaitable
@@ -21,12 +21,12 @@
 from radishd.process import metrics as metrics_lib
 
 MS_PER_S = 1_000
-# How long a request waits at most for loans of other gateways.
+# Maximum time that a request waits for loans of other gateways.
 LOAN_WAIT_MS = 150
-# By how much the times differ at which several callers are told to return.
+# Minimum Retry-After, and the jitter that is added to it.
 RETRY_MIN_MS = 100
-RETRY_SPREAD_MS = 500
-FORGET_EVERY_MS = 5_000
+RETRY_JITTER_MS = 500
+EXPIRE_INTERVAL_MS = 5_000
 
 Send = Callable[[str, usage_loan.Message], Awaitable[None]]
 FindCap = Callable[[str], usage_cap.UsageCap | None]
@@ -46,17 +46,17 @@
         metrics: metrics_lib.Metrics,
         random_source: random.Random,
     ) -> None:
-        """Starts with empty books.
+        """Starts without usage.
 
         Args:
-            rules: How caps are judged.
+            rules: Parameters of the accounting.
             others: Returns the names of the other gateways.
-            gateway_count: Returns how many gateways there are, this one too.
+            gateway_count: Returns the number of gateways, including this one.
             find_cap: Returns the cap of an account by its name.
             send: Sends a message to a gateway.
             log: Where rejections are logged.
             metrics: Where loans and rejections are counted.
-            random_source: Spreads callers that are told to come back.
+            random_source: Randomizes the retry times of rejected callers.
         """
         self._gateway_count = gateway_count
         self._find_cap = find_cap
@@ -64,15 +64,15 @@
         self._log = log
         self._metrics = metrics
         self._random = random_source
-        self._forgot_ms = clock.boot_ms()
+        self._expired_at_ms = clock.boot_ms()
         self._books = usage_books.UsageShares(
-            rules, others, gateway_count, self._forgot_ms, random_source
+            rules, others, gateway_count, self._expired_at_ms, random_source
         )
-        self._answered: dict[str, anyio.Event] = {}
+        self._loan_events: dict[str, anyio.Event] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Runs the tasks that answer others, until cancelled."""
+        """Runs the tasks that answer other gateways until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             try:
@@ -85,54 +85,54 @@
         account: client_account.ClientAccount | None,
         token_count: int | None,
     ) -> result.Outcome[usage_books.Reservation | None]:
-        """Books a request of an account, or rejects it.
+        """Reserves the cost of an account's request, or rejects the request.
 
         Args:
-            account: On whose behalf it runs, None if for nobody known.
-            token_count: Tokens that the request states.
+            account: Account of the client, None if it is unknown.
+            token_count: Number of tokens that the request states.
 
         Returns:
-            The booking, None where no cap applies, or the rejection with the
-            time at which there is room for a request of this cost.
+            The reservation, None if no cap applies, or the rejection with the
+            time after which there is spare capacity for this cost.
         """
         if account is None or account.cap is None:
             return None
         cap, name = account.cap, account.name
         cost = cap.cost(token_count)
         now_ms = clock.boot_ms()
-        booking = self._books.reserve(name, cap, cost, now_ms)
-        if booking is None:
-            booking = await self._borrow_and_book(name, cap, cost)
+        reservation = self._books.reserve(name, cap, cost, now_ms)
+        if reservation is None:
+            reservation = await self._borrow_and_reserve(name, cap, cost)
         elif self._books.borrow_ahead_amount(name, cap, now_ms):
-            await self._ask(name, 0.0)
-        if booking is not None:
-            return booking
+            await self._request_loans(name, 0.0)
+        if reservation is not None:
+            return reservation
         return self._reject(name, cap, cost)
 
-    def rebook(
-        self, booking: usage_books.Reservation | None
+    def renew_reservation(
+        self, reservation: usage_books.Reservation | None
     ) -> result.Outcome[usage_books.Reservation | None]:
-        """Books a request anew that waited too long since its booking."""
-        if booking is None:
+        """Renews a reservation that has expired or was released."""
+        if reservation is None:
             return None
         now_ms = clock.boot_ms()
-        age_ms = now_ms - booking.at_ms
-        if not booking.released and age_ms <= usage_loan.RESERVATION_MS:
-            return booking
-        self._books.release(booking)
-        name = booking.account
+        age_ms = now_ms - reservation.at_ms
+        if not reservation.released and age_ms <= usage_loan.RESERVATION_MS:
+            return reservation
+        self._books.release(reservation)
+        name = reservation.account
         cap = self._find_cap(name)
         if cap is None:
             return None
-        renewed = self._books.reserve(name, cap, booking.cost, now_ms)
-        return renewed or self._reject(name, cap, booking.cost)
+        renewed = self._books.reserve(name, cap, reservation.cost, now_ms)
+        return renewed or self._reject(name, cap, reservation.cost)
 
-    def release(self, booking: usage_books.Reservation | None) -> None:
-        """Gives a booking back whose request provably did not run."""
-        if booking is not None:
-            self._books.release(booking)
+    def release(self, reservation: usage_books.Reservation | None) -> None:
+        """Releases a reservation whose request provably did not run."""
+        if reservation is not None:
+            self._books.release(reservation)
 
-    async def _borrow_and_book(
+    async def _borrow_and_reserve(
         self, name: str, cap: usage_cap.UsageCap, cost: float
     ) -> usage_books.Reservation | None:
         until_ms = clock.boot_ms() + LOAN_WAIT_MS
@@ -143,36 +143,40 @@
                 or now_ms >= until_ms
             ):
                 return None
-            event = self._answered.setdefault(name, anyio.Event())
-            await self._ask(name, self._books.missing(name, cap, cost, now_ms))
+            event = self._loan_events.setdefault(name, anyio.Event())
+            await self._request_loans(
+                name, self._books.missing(name, cap, cost, now_ms)
+            )
             if self._books.is_borrowing_paused(name, now_ms):
                 return None
             pause_ms = min(usage_books.LOAN_TIMEOUT_MS, until_ms - now_ms)
             with anyio.move_on_after(pause_ms / MS_PER_S):
                 await event.wait()
-            booking = self._books.reserve(name, cap, cost, clock.boot_ms())
-            if booking is not None:
-                return booking
-
-    async def _ask(self, name: str, need: float) -> None:
-        for lender, ask in self._books.ask(name, need, clock.boot_ms()):
+            reservation = self._books.reserve(name, cap, cost, clock.boot_ms())
+            if reservation is not None:
+                return reservation
+
+    async def _request_loans(self, name: str, need: float) -> None:
+        for lender, loan_request in self._books.ask(
+            name, need, clock.boot_ms()
+        ):
             self._metrics.usage_loans.inc({"side": "asked"})
-            await self._send(lender, ask)
+            await self._send(lender, loan_request)
 
     def _reject(
         self, name: str, cap: usage_cap.UsageCap, cost: float
     ) -> result.Failure:
         self._metrics.usage_refused.inc({})
-        room_ms = max(
+        wait_ms = max(
             RETRY_MIN_MS,
             self._books.refill_wait_ms(name, cap, cost, clock.boot_ms()),
         )
-        spread_ms = round(self._random.uniform(0, RETRY_SPREAD_MS))
+        jitter_ms = round(self._random.uniform(0, RETRY_JITTER_MS))
         return result.Failure(
             result.USAGE_CAP_REACHED,
             f"account {name} has no room for {cost:g} {cap.unit}s, more in "
-            f"{room_ms} ms ({self._gateway_count()} gateways)",
-            room_ms + spread_ms,
+            f"{wait_ms} ms ({self._gateway_count()} gateways)",
+            wait_ms + jitter_ms,
         )
 
     def handle(self, message: usage_loan.Message, sender: str) -> None:
@@ -189,18 +193,18 @@
                 self._tasks.start_soon(self._send, sender, loan)
             return
         self._books.on_loan(message, now_ms)
-        event = self._answered.pop(message.account, None)
+        event = self._loan_events.pop(message.account, None)
         if event is not None:
             event.set()
 
     def report(self) -> dict[str, dict[str, float]]:
-        """Returns the use of accounts as plain data."""
+        """Returns the usage of accounts as plain data."""
         return self._books.report(clock.boot_ms())
 
     def sweep(self) -> None:
-        """Drops what was not used for long, now and then."""
+        """Expires unused accounting at an interval."""
         now_ms = clock.boot_ms()
-        if now_ms - self._forgot_ms < FORGET_EVERY_MS:
+        if now_ms - self._expired_at_ms < EXPIRE_INTERVAL_MS:
             return
-        self._forgot_ms = now_ms
+        self._expired_at_ms = now_ms
         self._books.forget(now_ms)
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -188,7 +188,9 @@
                 await self._fail(chosen)
                 return
             member, version = chosen
-            reservation = self.gateway.usage_caps.rebook(self._reservation)
+            reservation = self.gateway.usage_caps.renew_reservation(
+                self._reservation
+            )
             if isinstance(reservation, result.Failure):
                 await self._fail(reservation)
                 return
@@ -309,7 +311,7 @@
         below_limit = [
             member
             for member in limited
-            if limits.is_booked(self._rate_reservation, member)
+            if limits.is_reserved(self._rate_reservation, member)
             or limits.may_send(member, now_ms)
         ]
         unlimited = [one for one in allowed if one not in limited]
@@ -327,7 +329,7 @@
     def _reserve_rate(self, member: roster_lib.Member) -> bool:
         """Reserves a send under a target's rate limit; returns success."""
         limits = self.gateway.rate_limits
-        if limits.is_booked(self._rate_reservation, member):
+        if limits.is_reserved(self._rate_reservation, member):
             return True
         self._release_rate_reservation()
         self._rate_reservation = limits.reserve(member)
@@ -365,7 +367,7 @@
                     # Reserved before the load, because a load at a limited
                     # target only helps a request that may be sent there.
                     self._reserve_rate(member)
-                await gateway.load_requests.follow(load_request, choice)
+                await gateway.load_requests.apply_choice(load_request, choice)
                 # A stream that has started cannot be rejected any more, so it
                 # waits for a rate-limited target.
                 any_usable = bool(usable) or (
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -241,7 +241,7 @@
             listed = dict(fleet.store.objects["servers"])
             fleet.store.faults.refuses = True
             fleet.store.compact()
-            follower = gateway.knowledge.followers["servers"]
+            follower = gateway.discovery.followers["servers"]
             follower.restart()
             await fleet.until(
                 lambda: bool(follower.failing_since_ms), "the store is lost"
@@ -376,9 +376,9 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0) as fleet:
             gateway = fleet.gateway
-            targets = gateway.knowledge.followers["servers"]
+            targets = gateway.discovery.followers["servers"]
             others = [
-                gateway.knowledge.followers[kind]
+                gateway.discovery.followers[kind]
                 for kind in ("config", "versions")
             ]
             assert all(one.revision for one in others)
--- a/tests/fleet/test_foreign_entries.py
+++ b/tests/fleet/test_foreign_entries.py
@@ -88,7 +88,7 @@
 
 
 async def _until_all_is_read(fleet: fixtures.Fleet) -> None:
-    follower = fleet.gateway.knowledge.followers[TARGETS]
+    follower = fleet.gateway.discovery.followers[TARGETS]
     await fleet.until(
         lambda: (
             not follower.failing_since_ms
@@ -176,7 +176,7 @@
             # Checks the watch, then the list.
             await _until_all_is_read(fleet)
             assert _usable(fleet) == {"i-plain0", "i-plain9"}
-            for follower in gateway.knowledge.followers.values():
+            for follower in gateway.discovery.followers.values():
                 follower.restart()
             fleet.store.put(TARGETS, "i-plain9", spec | {"address": other})
             await _until_all_is_read(fleet)
--- a/tests/fleet/test_wishes.py
+++ b/tests/fleet/test_load_requests.py
@@ -1,4 +1,4 @@
-"""What gateways tell the processes beside engines, and when."""
+"""When gateways send demand to sidecars, and which requests they wake."""
 
 import random
 
@@ -26,13 +26,12 @@
     del member
 
 
-def test_an_engine_that_is_not_heard_is_told_every_time() -> None:
-    """Symptom: after a restart of all VMs nothing is loaded for a second.
+def test_demand_is_sent_every_turn_without_status_updates() -> None:
+    """Guards against a second without loads after a restart of all VMs.
 
-    Sequence: a gateway starts first, its first word meets a process beside
-    an engine that is not up yet. Cause: with nothing to tell, the next word
-    came with the third turn only, and until then that process knew neither
-    the gateway nor which start of its engine was listed.
+    The first message of a gateway is lost if the sidecar has not started yet.
+    Without demand, the next message was sent in the third turn; until then the
+    sidecar knew neither the gateway nor the listed incarnation of its engine.
     """
     placement = placement_lib.Placement(random.Random(1), "north")
     load_requests = load_requests_lib.LoadRequests(placement, _Log(), _tell)
@@ -41,12 +40,12 @@
     assert all(load_requests.is_due(member, turn) for turn in turns)
     view = placement_lib.View("i1", clock.boot_ms(), 0, 0, {}, frozenset())
     placement.handle_update(member.listing.address, view)
-    told = [turn for turn in turns if load_requests.is_due(member, turn)]
-    assert told == [0, 3], told
+    sent = [turn for turn in turns if load_requests.is_due(member, turn)]
+    assert sent == [0, 3], sent
 
 
-def test_an_engine_in_use_is_told_every_time() -> None:
-    """Its process believes a word on uses for two seconds only."""
+def test_demand_is_sent_every_turn_to_an_engine_in_use() -> None:
+    """Reported uses expire at the sidecar after two seconds."""
     placement = placement_lib.Placement(random.Random(1), "north")
     load_requests = load_requests_lib.LoadRequests(placement, _Log(), _tell)
     member = _member("i1")
@@ -56,12 +55,12 @@
     assert all(load_requests.is_due(member, turn) for turn in range(6))
 
 
-def test_only_requests_for_an_adapter_that_came_are_woken() -> None:
-    """Symptom: two fifths of a gateway's time go to choosing again in vain.
+def test_only_requests_for_the_loaded_adapter_are_woken() -> None:
+    """Guards against waking all waiting requests with each status update.
 
-    Sequence: forty words a second change what is believed of residency while
-    requests wait. Cause: each change woke all of them, and each weighed every
-    engine anew, ten times for one send.
+    Forty status updates a second change the known residency. Each woke all
+    waiting requests, and each request evaluated every engine again, ten times
+    per send. This cost two fifths of a gateway's CPU time.
     """
     notifier = notifier_lib.Notifier()
     woken: list[str] = []
