--- a/packages/radishctl/src/radishctl/cli.py
+++ b/packages/radishctl/src/radishctl/cli.py
@@ -175,7 +175,7 @@
         click.echo(yaml.safe_dump(plain, sort_keys=False).rstrip())
 
 
-def _chain(
+def _read_chain(
     session: session_lib.Session, limit: int
 ) -> tuple[commit_lib.Commit, ...]:
     async def read(
@@ -196,7 +196,7 @@
 @click.pass_obj
 def history(session: session_lib.Session, limit: int) -> None:
     """Lists the accepted versions, newest first."""
-    commits = tuple(reversed(_chain(session, limit)))
+    commits = tuple(reversed(_read_chain(session, limit)))
     output_lib.show(
         session.output,
         [
@@ -208,7 +208,7 @@
         (
             (
                 one.version,
-                processes.moment(one.audit.at_ms),
+                processes.format_time(one.audit.at_ms),
                 one.audit.operator,
                 len(one.operations),
                 one.audit.reason,
@@ -223,7 +223,7 @@
 @click.pass_obj
 def audit(session: session_lib.Session, limit: int) -> None:
     """Shows who changed what, when, on which version and why."""
-    commits = tuple(reversed(_chain(session, limit)))
+    commits = tuple(reversed(_read_chain(session, limit)))
     output_lib.show(
         session.output,
         [
@@ -240,7 +240,7 @@
             (
                 one.audit.base_version,
                 one.version,
-                processes.moment(one.audit.at_ms),
+                processes.format_time(one.audit.at_ms),
                 one.audit.operator,
                 *_describe(operation),
                 one.audit.reason,
@@ -439,11 +439,11 @@
     """
     sources = files or (click.get_text_stream("stdin"),)
     lines = [line for file in sources for line in explain_lib.read_lines(file)]
-    story = explain_lib.story(lines, request_id)
-    if not story:
+    request_lines = explain_lib.request_lines(lines, request_id)
+    if not request_lines:
         click.echo(f"no line about {request_id}", err=True)
         sys.exit(exits.FAILED)
-    for text in explain_lib.render(story, request_id):
+    for text in explain_lib.render(request_lines, request_id):
         click.echo(text)
 
 
--- a/packages/radishctl/src/radishctl/explain.py
+++ b/packages/radishctl/src/radishctl/explain.py
@@ -9,7 +9,7 @@
 # ordered for another just before; both lie within this.
 MARGIN_MS = 3_000
 # Fields that every line has, or that the heading of the story shows.
-_SHOWN_APART = ("at_ms", "event", "vm")
+_HEADING_FIELDS = ("at_ms", "event", "vm")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -50,13 +50,13 @@
             continue
         if not isinstance(raw, dict) or "event" not in raw:
             continue
-        fields = {k: v for k, v in raw.items() if k not in _SHOWN_APART}
+        fields = {k: v for k, v in raw.items() if k not in _HEADING_FIELDS}
         at_ms = int(raw.get("at_ms", 0))
         lines.append(Line(at_ms, raw.get("vm", ""), raw["event"], fields))
     return lines
 
 
-def story(lines: list[Line], request_id: str) -> list[Line]:
+def request_lines(lines: list[Line], request_id: str) -> list[Line]:
     """Picks what touches one request, in the order in which it happened.
 
     Args:
@@ -83,12 +83,12 @@
         for one in lines
         if ends_ms - took_ms - MARGIN_MS <= one.at_ms <= ends_ms + MARGIN_MS
         and one.event != "request"
-        and _touches(one, adapters, targets)
+        and _is_related(one, adapters, targets)
     ]
     return sorted(own + picked, key=lambda one: one.at_ms)
 
 
-def _touches(line: Line, adapters: set[str], targets: set[str]) -> bool:
+def _is_related(line: Line, adapters: set[str], targets: set[str]) -> bool:
     fields = line.fields
     if "adapter" in fields:
         return fields["adapter"] in adapters
--- a/packages/radishctl/src/radishctl/fleet.py
+++ b/packages/radishctl/src/radishctl/fleet.py
@@ -32,14 +32,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Kept:
+class _StoredDeployment:
     """What the platform's store holds of a deployment."""
 
     table: route_table.RouteTable
     targets: tuple[roster_lib.Listing, ...]
 
 
-async def _read(url: str) -> result.Outcome[_Kept]:
+async def _read_store(url: str) -> result.Outcome[_StoredDeployment]:
     store = store_lib.Store(
         url.removeprefix("http://"), metrics_lib.Metrics(name="radishctl")
     )
@@ -65,21 +65,21 @@
             click.echo(f"passed over: {target.message}", err=True)
             continue
         targets.append(target)
-    return _Kept(table, tuple(targets))
+    return _StoredDeployment(table, tuple(targets))
 
 
-def _kept(session: session_lib.Session) -> _Kept:
-    kept = anyio.run(_read, session.platform.url)
-    if isinstance(kept, result.Failure):
-        session_lib.fail(kept)
-    return kept
+def _load_deployment(session: session_lib.Session) -> _StoredDeployment:
+    deployment = anyio.run(_read_store, session.platform.url)
+    if isinstance(deployment, result.Failure):
+        session_lib.fail(deployment)
+    return deployment
 
 
 @fleet.command("config")
 @click.pass_obj
 def config(session: session_lib.Session) -> None:
     """Prints the configuration that the operator wrote last."""
-    table = _kept(session).table
+    table = _load_deployment(session).table
     plain = json.loads(json.dumps(route_table.report(table)))
     if session.output is output_lib.Format.JSON:
         click.echo(json.dumps(plain, indent=2))
@@ -108,7 +108,7 @@
             (
                 one["before"],
                 one["version"],
-                processes.moment(one["at_ms"]),
+                processes.format_time(one["at_ms"]),
                 detail,
             )
             for one in changes
@@ -126,12 +126,12 @@
     ADMIN is the admin address of one gateway; the others are found from what
     it knows. Use is what all gateways sent in the last window.
     """
-    kept = _kept(session)
-    directory = kept.table.accounts
+    deployment = _load_deployment(session)
+    directory = deployment.table.accounts
     if directory is None:
         click.echo("requests need no API key")
         return
-    reports = anyio.run(_ask_all, admin, kept)
+    reports = anyio.run(_ask_all, admin, deployment)
     used: collections.Counter[str] = collections.Counter()
     for report in reports:
         for name, books in report.get("accounts", {}).items():
@@ -163,15 +163,17 @@
     ADMIN is the admin address of one gateway; the others are found from what
     it knows. A gateway behind the store's version is marked.
     """
-    kept = _kept(session)
-    reports = anyio.run(_ask_all, admin, kept)
+    deployment = _load_deployment(session)
+    reports = anyio.run(_ask_all, admin, deployment)
     residents = {
         one["instance"]: one.get("residents", {})
         for one in reports
         if one.get("instance")
     }
-    newest = kept.table.version
-    targets = sorted(kept.targets, key=lambda one: (one.service, one.address))
+    newest = deployment.table.version
+    targets = sorted(
+        deployment.targets, key=lambda one: (one.service, one.address)
+    )
     if session.output is output_lib.Format.JSON:
         click.echo(
             json.dumps(
@@ -200,15 +202,17 @@
     )
 
 
-async def _ask_all(admin: str, kept: _Kept) -> list[dict[str, Any]]:
+async def _ask_all(
+    admin: str, deployment: _StoredDeployment
+) -> list[dict[str, Any]]:
     (first,) = await processes.collect((admin,))
     _, port = settings_lib.split_address(admin)
     addresses: Iterable[str] = (
         *first.get("peers", ()),
         *(
             one.address
-            for one in kept.targets
-            if (spec := kept.table.services.get(one.service)) is not None
+            for one in deployment.targets
+            if (spec := deployment.table.services.get(one.service)) is not None
             and spec.adapter_limit
         ),
     )
--- a/packages/radishctl/src/radishctl/processes.py
+++ b/packages/radishctl/src/radishctl/processes.py
@@ -13,7 +13,7 @@
 HEADINGS = ("name", "role", "version", "ready", "queue", "running", "holds")
 
 
-def moment(at_ms: int) -> str:
+def format_time(at_ms: int) -> str:
     """Renders a time of day."""
     at = datetime.datetime.fromtimestamp(at_ms / MS_PER_S, datetime.UTC)
     return at.isoformat(timespec="seconds")
--- a/packages/radishd/src/radishd/connection/crash_watch.py
+++ b/packages/radishd/src/radishd/connection/crash_watch.py
@@ -22,16 +22,16 @@
 MS_PER_S = 1_000
 # All answers of a target that ends break at the same moment; those that are
 # noticed within this time are looked into together.
-GATHER_MS = 10
+COALESCE_MS = 10
 CONNECT_TIMEOUT_MS = 400
 # Fingerprints that a line of the log holds.
-MAX_LOGGED = 8
+MAX_LOGGED_FINGERPRINTS = 8
 
 OnCrash = Callable[[crash_lib.Crash], None]
 
 
 @dataclasses.dataclass(slots=True)
-class _Broken:
+class _AbortedSends:
     address: str
     at_ms: int
     suspects: dict[str, crash_lib.Suspect]
@@ -59,15 +59,15 @@
         self._log = log
         self._metrics = metrics
         self._on_crash = on_crash
-        self._broken: dict[incarnation.IncarnationId, _Broken] = {}
+        self._broken: dict[incarnation.IncarnationId, _AbortedSends] = {}
         self._wake = anyio.Event()
 
     @property
-    def is_looking(self) -> bool:
+    def is_investigating(self) -> bool:
         """Whether a broken send is yet to be looked into."""
         return bool(self._broken)
 
-    def broke(
+    def record_abort(
         self, member: roster_lib.Member, fingerprint: str, began_at_ms: int
     ) -> None:
         """Records that a target aborted a response.
@@ -80,7 +80,7 @@
         listing = member.listing
         broken = self._broken.setdefault(
             listing.incarnation_id,
-            _Broken(listing.address, clock.boot_ms(), {}),
+            _AbortedSends(listing.address, clock.boot_ms(), {}),
         )
         broken.suspects[fingerprint] = crash_lib.Suspect(
             fingerprint, began_at_ms
@@ -93,15 +93,15 @@
             while True:
                 await self._wake.wait()
                 self._wake = anyio.Event()
-                await anyio.sleep(GATHER_MS / MS_PER_S)
+                await anyio.sleep(COALESCE_MS / MS_PER_S)
                 broken, self._broken = self._broken, {}
                 for incarnation_id, sends in broken.items():
-                    tasks.start_soon(self._look, incarnation_id, sends)
+                    tasks.start_soon(self._investigate, incarnation_id, sends)
 
-    async def _look(
-        self, incarnation_id: incarnation.IncarnationId, broken: _Broken
+    async def _investigate(
+        self, incarnation_id: incarnation.IncarnationId, broken: _AbortedSends
     ) -> None:
-        reason = await self._why_ended(broken.address)
+        reason = await self._termination_reason(broken.address)
         ended = bool(reason)
         suspects = tuple(broken.suspects.values())
         self._metrics.crashes.inc({"ended": "yes" if ended else "no"})
@@ -113,14 +113,16 @@
             reason=reason or "it can be connected to",
             age_ms=clock.boot_ms() - broken.at_ms,
             suspects=len(suspects),
-            fingerprints=[one.fingerprint for one in suspects[:MAX_LOGGED]],
+            fingerprints=[
+                one.fingerprint for one in suspects[:MAX_LOGGED_FINGERPRINTS]
+            ],
         )
         if ended:
             self._on_crash(
                 crash_lib.Crash(incarnation_id, broken.at_ms, suspects)
             )
 
-    async def _why_ended(self, address: str) -> str:
+    async def _termination_reason(self, address: str) -> str:
         """Returns why a target is held to have ended, empty if it is not."""
         if self._pool.has_open(address):
             return ""
--- a/packages/radishd/src/radishd/connection/http_client.py
+++ b/packages/radishd/src/radishd/connection/http_client.py
@@ -24,7 +24,7 @@
 # Unread bytes of an answer above which the peer is asked to wait.
 HIGH_WATER_BYTES = 256 * 1024
 MAX_HEADERS_BYTES = 64 * 1024
-INFORMATIONAL = 200
+FIRST_FINAL_STATUS = 200
 # SO_LINGER on with zero seconds: closing resets the connection.
 _RESET = struct.pack("ii", 1, 0)
 NO_CONTENT = (204, 304)
@@ -59,8 +59,8 @@
     """
 
     reason: str
-    spoiled: bool = False
-    silent: bool = False
+    malformed: bool = False
+    timed_out: bool = False
 
 
 class _Incoming:
@@ -120,12 +120,12 @@
         if not self._busy:
             # Nobody waits for an answer: a late second answer to an earlier
             # request. Reused, the connection would give it to the next one.
-            self._fail(Lost("bytes without a request", spoiled=True))
+            self._fail(Lost("bytes without a request", malformed=True))
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(Lost(f"not an answer: {error}", spoiled=True))
+            self._fail(Lost(f"not an answer: {error}", malformed=True))
             return
         self._wake()
 
@@ -164,7 +164,7 @@
         """Ends a response."""
         incoming = self._parsing
         self._parsing = None
-        if incoming.head.status < INFORMATIONAL:
+        if incoming.head.status < FIRST_FINAL_STATUS:
             self._incoming.remove(incoming)
             return
         incoming.complete = True
@@ -191,7 +191,7 @@
         if self._lost is None:
             self._lost = Lost(
                 repr(error) if error else "closed by peer",
-                silent=isinstance(error, TimeoutError),
+                timed_out=isinstance(error, TimeoutError),
             )
         self._wake()
 
@@ -226,7 +226,7 @@
         """Whether it carries a request."""
         return self._busy
 
-    def announced_keep_s(self) -> int:
+    def announced_keep_alive_s(self) -> int:
         """Returns the idle seconds announced with the present response."""
         return keep_alive_s(self._incoming[0].head)
 
--- a/packages/radishd/src/radishd/connection/link.py
+++ b/packages/radishd/src/radishd/connection/link.py
@@ -43,9 +43,9 @@
     def open(self) -> tuple[int, inbox_lib.Inbox]:
         """Opens a stream; its id is never used again on this connection."""
         inbox = inbox_lib.Inbox()
-        return self.adopt(inbox), inbox
+        return self.open_with_inbox(inbox), inbox
 
-    def adopt(self, inbox: inbox_lib.Inbox) -> int:
+    def open_with_inbox(self, inbox: inbox_lib.Inbox) -> int:
         """Opens a stream whose frames go to an inbox that exists."""
         stream_id = next(self._ids)
         self.inboxes[stream_id] = inbox
@@ -67,7 +67,9 @@
     async def run(self) -> None:
         """Reads and writes until the connection ends, then tells all."""
         try:
-            failure = await pump.run(self._stream, self.writer, self._take)
+            failure = await pump.run(
+                self._stream, self.writer, self._handle_frame
+            )
             if failure is not None:
                 logs.error(
                     "bad_frame",
@@ -80,13 +82,13 @@
             for inbox in self.inboxes.values():
                 inbox.put(inbox_lib.LINK_LOST)
 
-    def _take(self, taken: frame.Frame) -> result.Failure | None:
-        inbox = self.inboxes.get(taken.stream)
+    def _handle_frame(self, received: frame.Frame) -> result.Failure | None:
+        inbox = self.inboxes.get(received.stream)
         if inbox is None:
             return None
         if len(inbox) >= MAX_INBOX_ITEMS:
             return _WINDOW_IGNORED
-        inbox.put(taken.body)
+        inbox.put(received.body)
         return None
 
 
--- a/packages/radishd/src/radishd/connection/listener.py
+++ b/packages/radishd/src/radishd/connection/listener.py
@@ -50,18 +50,20 @@
         )
         self.writer.write(frame.encode(0, hello))
         try:
-            failure = await pump.run(self.stream, self.writer, self._take)
+            failure = await pump.run(
+                self.stream, self.writer, self._handle_frame
+            )
             if failure is not None:
-                self._end_bad(failure)
+                self._report_bad_frame(failure)
         finally:
             for stream, attempt_id in list(self.attempts.items()):
                 reader = serving_lib.ReaderId(self.writer, stream)
                 self.process.reader_left(attempt_id, reader, cut=True)
 
-    def _take(self, taken: frame.Frame) -> result.Failure | None:
-        return _take(taken.body, self, taken.stream)
+    def _handle_frame(self, received: frame.Frame) -> result.Failure | None:
+        return _handle_frame(received.body, self, received.stream)
 
-    def _end_bad(self, failure: result.Failure) -> None:
+    def _report_bad_frame(self, failure: result.Failure) -> None:
         """A bad frame ends its connection and nothing else."""
         logs.error("bad_frame", failure.code, reason=failure.message)
         self.process.metrics.refusals.inc({"code": str(failure.code.number)})
@@ -82,7 +84,7 @@
 
 
 @functools.singledispatch
-def _take(
+def _handle_frame(
     body: object, connection: Connection, stream: int
 ) -> result.Failure | None:
     return result.Failure(
@@ -91,16 +93,16 @@
     )
 
 
-@_take.register
-def _take_hello(
+@_handle_frame.register
+def _handle_hello(
     body: frame.Hello, connection: Connection, stream: int
 ) -> result.Failure | None:
     connection.offset.observe(body.sent_at_ms, clock.now_ms())
     return connection.open_stream(stream)
 
 
-@_take.register
-def _take_submit(
+@_handle_frame.register
+def _handle_submit(
     body: frame.Submit, connection: Connection, stream: int
 ) -> result.Failure | None:
     failure = connection.open_stream(stream)
@@ -130,8 +132,8 @@
     return None
 
 
-@_take.register
-def _take_attach(
+@_handle_frame.register
+def _handle_attach(
     body: frame.Attach, connection: Connection, stream: int
 ) -> result.Failure | None:
     failure = connection.open_stream(stream)
@@ -143,13 +145,13 @@
     return None
 
 
-@_take.register
-def _take_ack(
+@_handle_frame.register
+def _handle_ack(
     body: frame.Ack, connection: Connection, stream: int
 ) -> result.Failure | None:
     attempt_id = connection.attempts.get(stream)
     if attempt_id is None:
-        return _unknown(connection, stream)
+        return _check_closed_stream(connection, stream)
     serving = connection.process.serving_of(attempt_id)
     if serving is None:
         connection.attempts.pop(stream, None)
@@ -159,21 +161,21 @@
     return None
 
 
-@_take.register
-def _take_cancel(
+@_handle_frame.register
+def _handle_cancel(
     body: frame.Cancel, connection: Connection, stream: int
 ) -> result.Failure | None:
     del body
     attempt_id = connection.attempts.pop(stream, None)
     if attempt_id is None:
-        return _unknown(connection, stream)
+        return _check_closed_stream(connection, stream)
     reader = serving_lib.ReaderId(connection.writer, stream)
     connection.process.reader_left(attempt_id, reader, cut=False)
     return None
 
 
-@_take.register
-def _take_fetch(
+@_handle_frame.register
+def _handle_fetch(
     body: frame.Fetch, connection: Connection, stream: int
 ) -> result.Failure | None:
     del body
@@ -185,8 +187,8 @@
     return None
 
 
-@_take.register
-def _take_seal(
+@_handle_frame.register
+def _handle_seal(
     body: frame.Seal, connection: Connection, stream: int
 ) -> result.Failure | None:
     failure = connection.open_stream(stream)
@@ -200,7 +202,9 @@
     return None
 
 
-def _unknown(connection: Connection, stream: int) -> result.Failure | None:
+def _check_closed_stream(
+    connection: Connection, stream: int
+) -> result.Failure | None:
     """A frame for a stream that has ended is late; for no stream, bad."""
     if stream <= connection.highest_stream:
         return None
--- a/packages/radishd/src/radishd/connection/pool.py
+++ b/packages/radishd/src/radishd/connection/pool.py
@@ -13,19 +13,19 @@
 # nothing of its own; and the part of what it said that is used, since its
 # clock started earlier than ours.
 DEFAULT_IDLE_MS = 2_000
-KEEP_PART = 0.5
+KEEP_ALIVE_FRACTION = 0.5
 MAX_IDLE_MS = 10_000
 # Requests that must not run twice take only connections used this recently.
-FRESH_MS = 1_500
-MAX_KEPT = 32
+MAX_FRESH_IDLE_MS = 1_500
+MAX_IDLE_PER_ADDRESS = 32
 MS_PER_S = 1_000
 
 
 @dataclasses.dataclass(slots=True)
-class _Kept:
+class _IdleConnection:
     connection: http_client.Connection
     idle_since_ms: int
-    until_ms: int
+    expires_at_ms: int
 
 
 class Pool:
@@ -37,10 +37,10 @@
         Args:
             connect_timeout_ms: How long a new connection may take.
         """
-        self._kept: dict[str, list[_Kept]] = {}
+        self._kept: dict[str, list[_IdleConnection]] = {}
         self._connect_timeout_ms = connect_timeout_ms
 
-    async def take(
+    async def acquire(
         self, address: str, *, fresh: bool
     ) -> http_client.Connection | http_client.Lost:
         """Returns a pooled connection, or opens one.
@@ -56,9 +56,9 @@
         kept = self._kept.get(address, [])
         while kept:
             one = kept.pop()
-            usable_until_ms = one.until_ms
+            usable_until_ms = one.expires_at_ms
             if fresh:
-                fresh_until_ms = one.idle_since_ms + FRESH_MS
+                fresh_until_ms = one.idle_since_ms + MAX_FRESH_IDLE_MS
                 usable_until_ms = min(usable_until_ms, fresh_until_ms)
             if one.connection.is_open and now_ms < usable_until_ms:
                 return one.connection
@@ -67,25 +67,30 @@
             address, self._connect_timeout_ms
         )
 
-    def give_back(
-        self, address: str, connection: http_client.Connection, keep_s: int
+    def release(
+        self,
+        address: str,
+        connection: http_client.Connection,
+        keep_alive_s: int,
     ) -> None:
         """Returns a connection to the pool after a whole response.
 
         Args:
             address: Where it leads.
             connection: The connection, already finished.
-            keep_s: Idle seconds that the peer announced, 0 if it did not.
+            keep_alive_s: Idle seconds that the peer announced, 0 if it did not.
         """
         kept = self._kept.setdefault(address, [])
-        if len(kept) >= MAX_KEPT:
+        if len(kept) >= MAX_IDLE_PER_ADDRESS:
             connection.close()
             return
         now_ms = clock.boot_ms()
         idle_ms = DEFAULT_IDLE_MS
-        if keep_s:
-            idle_ms = min(int(keep_s * MS_PER_S * KEEP_PART), MAX_IDLE_MS)
-        kept.append(_Kept(connection, now_ms, now_ms + idle_ms))
+        if keep_alive_s:
+            idle_ms = min(
+                int(keep_alive_s * MS_PER_S * KEEP_ALIVE_FRACTION), MAX_IDLE_MS
+            )
+        kept.append(_IdleConnection(connection, now_ms, now_ms + idle_ms))
 
     async def exchange(
         self, address: str, connection: http_client.Connection, data: bytes
@@ -107,8 +112,8 @@
         if isinstance(answer, http_client.Lost):
             connection.close()
         elif connection.finish():
-            keep_s = http_client.keep_alive_s(answer.head)
-            self.give_back(address, connection, keep_s)
+            keep_alive_s = http_client.keep_alive_s(answer.head)
+            self.release(address, connection, keep_alive_s)
         return answer
 
     def has_open(self, address: str) -> bool:
@@ -134,7 +139,7 @@
             stale = [
                 one
                 for one in kept
-                if now_ms >= one.until_ms or not one.connection.is_open
+                if now_ms >= one.expires_at_ms or not one.connection.is_open
             ]
             for one in stale:
                 kept.remove(one)
--- a/packages/radishd/src/radishd/connection/pump.py
+++ b/packages/radishd/src/radishd/connection/pump.py
@@ -12,18 +12,20 @@
 RECEIVE_BYTES = 65_536
 SOCKET_ERRORS = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
-Take = Callable[[frame.Frame], result.Failure | None]
+FrameHandler = Callable[[frame.Frame], result.Failure | None]
 
 
 async def run(
-    stream: anyio.abc.SocketStream, writer: writer_lib.Writer, take: Take
+    stream: anyio.abc.SocketStream,
+    writer: writer_lib.Writer,
+    handle_frame: FrameHandler,
 ) -> result.Failure | None:
     """Reads and writes until a connection ends.
 
     Args:
         stream: The connected socket; closed when this returns.
         writer: What is queued here is written.
-        take: Called with every frame; a failure ends the connection.
+        handle_frame: Called with every frame; a failure ends the connection.
 
     Returns:
         What was wrong with a frame, or None if the peer ended it.
@@ -32,7 +34,7 @@
     try:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_write, stream, writer)
-            failure = await _read(stream, take)
+            failure = await _read(stream, handle_frame)
             tasks.cancel_scope.cancel()
     finally:
         writer.close()
@@ -53,7 +55,7 @@
 
 
 async def _read(
-    stream: anyio.abc.SocketStream, take: Take
+    stream: anyio.abc.SocketStream, handle_frame: FrameHandler
 ) -> result.Failure | None:
     splitter = frame.Splitter()
     while True:
@@ -68,6 +70,6 @@
             decoded = frame.decode(message)
             if isinstance(decoded, result.Failure):
                 return decoded
-            failure = take(decoded)
+            failure = handle_frame(decoded)
             if failure is not None:
                 return failure
--- a/packages/radishd/src/radishd/connection/transfer.py
+++ b/packages/radishd/src/radishd/connection/transfer.py
@@ -14,30 +14,30 @@
 from radishd.process import configuration as configuration_lib
 from radishd.process import logs
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 ACK_EVERY_CHUNKS = 16
 FETCH_TIMEOUT_S = 10.0
-SEED_AFTER_MS = 1_000
+OBJECT_API_WAIT_MS = 1_000
 
 
-def pieces_of(held: holder_lib.Held) -> list[bytes]:
+def encode_chunks(held: holder_lib.Held) -> list[bytes]:
     """Cuts a version into chunks; the first names it."""
     head = {"version": held.version, "write_id": held.write_id}
     data = json.dumps(document_lib.to_plain(held.document)).encode()
     return [
         json.dumps(head).encode(),
         *(
-            data[start : start + PIECE_BYTES]
-            for start in range(0, len(data), PIECE_BYTES)
+            data[start : start + CHUNK_BYTES]
+            for start in range(0, len(data), CHUNK_BYTES)
         ),
     ]
 
 
-def join(pieces: list[bytes]) -> result.Outcome[holder_lib.Held]:
+def join(chunks: list[bytes]) -> result.Outcome[holder_lib.Held]:
     """Puts a version together from its chunks."""
     try:
-        head = json.loads(pieces[0])
-        document = document_lib.parse(json.loads(b"".join(pieces[1:])))
+        head = json.loads(chunks[0])
+        document = document_lib.parse(json.loads(b"".join(chunks[1:])))
         version, write_id = int(head["version"]), str(head["write_id"])
     except (ValueError, KeyError, IndexError, TypeError) as error:
         return result.Failure(result.STORE_CORRUPT, f"a peer's: {error!r}")
@@ -89,7 +89,7 @@
         seeds: Addresses of target processes, maybe none.
     """
     while seeds:
-        if await configuration.wait_for(1, SEED_AFTER_MS):
+        if await configuration.wait_for(1, OBJECT_API_WAIT_MS):
             return
         held = await fetch_newest(links, seeds)
         if held is not None:
@@ -117,20 +117,20 @@
     link: link_lib.Link, stream: int, inbox: inbox_lib.Inbox
 ) -> result.Outcome[holder_lib.Held]:
     order = sequence.Sequence()
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     while True:
         item = await inbox.take()
         match item:
             case frame.Chunk(number=number, payload=payload):
                 if order.take(number) is not sequence.Verdict.TAKE:
                     return result.Failure(result.CHUNK_GAP, "a chunk is gone")
-                pieces.append(payload)
+                chunks.append(payload)
                 if order.expected % ACK_EVERY_CHUNKS == 0:
                     link.send(stream, frame.Ack(order.expected))
             case frame.End(total=total):
                 if not order.end(total):
                     return result.Failure(result.CHUNK_GAP, "its end is gone")
-                return join(pieces)
+                return join(chunks)
             case frame.Accepted():
                 continue
             case _:
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -302,9 +302,9 @@
 
     def release(self, address: str, connection: http_client.Connection) -> None:
         """Returns a connection to the pool after a whole response."""
-        keep_s = connection.announced_keep_s()
+        keep_s = connection.announced_keep_alive_s()
         if connection.finish():
-            self.pool.give_back(address, connection, keep_s)
+            self.pool.release(address, connection, keep_s)
 
     def discard(self, connection: http_client.Connection) -> None:
         """Closes a connection that was not released."""
--- a/packages/radishd/src/radishd/platform/engine.py
+++ b/packages/radishd/src/radishd/platform/engine.py
@@ -22,7 +22,7 @@
 MS_PER_S = 1_000
 # One process on one VM gives this engine its orders, so its number never has
 # to rise; what must not happen is that it falls.
-FENCE = 1
+FENCING_TOKEN = 1
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
 HTTP_CONFLICT = 409
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ordered:
+class OrderResult:
     """The answer to an order, with what the engine said."""
 
     verdict: Verdict
@@ -79,7 +79,7 @@
 
     async def order(
         self, order: adapter_keeper.Order, instance: str
-    ) -> Ordered:
+    ) -> OrderResult:
         """Gives an order to one start of the engine.
 
         Args:
@@ -90,7 +90,7 @@
             How it was answered; without an answer it may be carried out now,
             later, or never.
         """
-        body = wire.order(order, self._holder, FENCE)
+        body = wire.order(order, self._holder, FENCING_TOKEN)
         head = (
             f"POST /-/order HTTP/1.1\r\nHost: {self._address}\r\n"
             f"Content-Type: application/json\r\n"
@@ -99,21 +99,21 @@
         )
         answer = await self._call(head.encode() + body, ORDER_TIMEOUT_MS)
         if isinstance(answer, http_client.Lost):
-            return Ordered(Verdict.UNANSWERED, answer.reason)
+            return OrderResult(Verdict.UNANSWERED, answer.reason)
         detail = answer.body[:200].decode("utf-8", "replace")
         status = answer.head.status
         if status in (HTTP_OK, HTTP_ACCEPTED):
-            return Ordered(Verdict.ACCEPTED, detail)
+            return OrderResult(Verdict.ACCEPTED, detail)
         if status == HTTP_CONFLICT:
-            return Ordered(Verdict.CONFLICT, detail)
+            return OrderResult(Verdict.CONFLICT, detail)
         if status == HTTP_MISDIRECTED:
-            return Ordered(Verdict.OTHER_INSTANCE, detail)
-        return Ordered(Verdict.REFUSED, f"{status} {detail}")
+            return OrderResult(Verdict.OTHER_INSTANCE, detail)
+        return OrderResult(Verdict.REFUSED, f"{status} {detail}")
 
     async def _call(
         self, data: bytes, timeout_ms: int
     ) -> http_client.Answer | http_client.Lost:
-        connection = await self._pool.take(self._address, fresh=True)
+        connection = await self._pool.acquire(self._address, fresh=True)
         if isinstance(connection, http_client.Lost):
             return connection
         with anyio.move_on_after(timeout_ms / MS_PER_S):
--- a/packages/radishd/src/radishd/platform/front.py
+++ b/packages/radishd/src/radishd/platform/front.py
@@ -18,7 +18,7 @@
 _LAST_EVENT = b"last-event-id"
 _INSTANCE = b"x-instance-id"
 _SIGNATURE = b"x-server-signature"
-_NOT_RUN = b"x-not-executed"
+_NOT_EXECUTED = b"x-not-executed"
 _ENCODING = b"content-encoding"
 _LEAVING = b"server-leaving"
 _RATE_LIMIT = b"server-limit"
@@ -48,7 +48,7 @@
 )
 # Headers that this system sets for targets; a caller's own would let it take
 # over another request's memory, place, priority or account.
-_OURS = frozenset(
+_SYSTEM_HEADERS = frozenset(
     {
         _DEADLINE,
         _AUTHORIZATION,
@@ -63,9 +63,9 @@
         b"kv-fetch",
     }
 )
-_DROPPED = _HOP_BY_HOP | _OURS
+_DROPPED = _HOP_BY_HOP | _SYSTEM_HEADERS
 # What a caller may not have dropped by naming it in its Connection header.
-_KEPT = frozenset(
+_UNDROPPABLE = frozenset(
     {b"", _HOST, _ATTEMPT, _MODEL, _TOKEN_COUNT, b"x-prompt-prefix"}
 )
 _RESPONSE_DROPPED = _HOP_BY_HOP
@@ -75,7 +75,7 @@
 HTTP_MISDIRECTED = 421
 HTTP_UNAVAILABLE = 503
 # Callers take these as a promise that the request did not run.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 MS_PER_S = 1_000
 
 
@@ -130,7 +130,7 @@
     named = {
         part.strip().lower() for part in first.get(_CONNECTION, b"").split(b",")
     }
-    dropped = _DROPPED | (named - _KEPT)
+    dropped = _DROPPED | (named - _UNDROPPABLE)
     deadline = first.get(_DEADLINE, b"").strip()
     return Request(
         attempt_id=first[_ATTEMPT].decode("latin-1"),
@@ -240,7 +240,7 @@
         if actual is not None and actual.decode("latin-1") != instance:
             return Kind.GONE
         return Kind.MISMATCH
-    if head.get(_NOT_RUN) is not None:
+    if head.get(_NOT_EXECUTED) is not None:
         return Kind.SHED
     if head.status in HTTP_SUCCESS:
         whole = (
@@ -249,7 +249,7 @@
             and head.get(_ENCODING) is None
         )
         return Kind.SUCCESS if whole else Kind.SPOILED
-    if head.status in PROMISES:
+    if head.status in NOT_EXECUTED_STATUSES:
         # Passed on, the caller would take it as proof that nothing ran.
         return Kind.UNPROVEN_PROMISE
     return Kind.FAILURE
@@ -299,13 +299,13 @@
     if head.status != HTTP_UNAVAILABLE:
         return 0
     try:
-        rest_s = float(head.get(_RETRY_AFTER) or b"0")
+        retry_after_s = float(head.get(_RETRY_AFTER) or b"0")
     except ValueError:
         # A date, which targets do not send, or garbage.
         return 0
-    if not math.isfinite(rest_s):
+    if not math.isfinite(retry_after_s):
         return 0
-    return round(max(0.0, rest_s) * MS_PER_S)
+    return round(max(0.0, retry_after_s) * MS_PER_S)
 
 
 def rate_limit_per_s(head: http_client.Head, instance: str) -> float | None:
--- a/packages/radishd/src/radishd/platform/store.py
+++ b/packages/radishd/src/radishd/platform/store.py
@@ -26,7 +26,7 @@
 CONNECT_TIMEOUT_MS = 500
 # A watch that is answered this long after its wait has ended tells of a store
 # that stood still, though no call failed; answers take a few milliseconds.
-LATE_MS = 400
+LATE_ANSWER_MARGIN_MS = 400
 MS_PER_S = 1_000
 MAX_PAGES = 1_000
 
@@ -35,8 +35,8 @@
     """Reads and writes objects; every call is counted, as each is paid for.
 
     Attributes:
-        on_back: Called before the first answer after an absence is returned,
-            with the kind that was asked for.
+        on_outage_ended: Called with the requested kind when a store outage
+            ends, before the first answer is returned.
         on_restored: Called when the store answers with a later era, before
             that answer is returned.
         era: Latest era received from the store, 0 if none.
@@ -53,8 +53,8 @@
         self._pool = pool_lib.Pool(CONNECT_TIMEOUT_MS)
         self._metrics = metrics
         self._availability = availability.Availability()
-        self.on_back: Callable[[str, availability.Outage], None] = (
-            lambda kind, absence: None
+        self.on_outage_ended: Callable[[str, availability.Outage], None] = (
+            lambda kind, outage: None
         )
         self.on_restored: Callable[[], None] = lambda: None
         self.era = 0
@@ -117,7 +117,10 @@
         """
         query = f"?watch={revision}&waitMs={wait_ms}"
         body = await self._get(
-            kind, query, wait_ms + CALL_TIMEOUT_MS, late_ms=wait_ms + LATE_MS
+            kind,
+            query,
+            wait_ms + CALL_TIMEOUT_MS,
+            late_ms=wait_ms + LATE_ANSWER_MARGIN_MS,
         )
         if isinstance(body, result.Failure | stored.Expired):
             return body
@@ -190,7 +193,11 @@
         return failure
 
     async def _get(
-        self, kind: str, query: str, timeout_ms: int, late_ms: int = LATE_MS
+        self,
+        kind: str,
+        query: str,
+        timeout_ms: int,
+        late_ms: int = LATE_ANSWER_MARGIN_MS,
     ) -> result.Outcome[stored.Answer] | stored.Expired:
         began_ms = clock.boot_ms()
         outcome: Any = None
@@ -209,9 +216,9 @@
             return outcome
         now_ms = clock.boot_ms()
         late = now_ms - began_ms > late_ms
-        absence = self._availability.answered(now_ms, late=late)
-        if absence is not None:
-            self.on_back(kind, absence)
+        outage = self._availability.answered(now_ms, late=late)
+        if outage is not None:
+            self.on_outage_ended(kind, outage)
         return outcome
 
     async def _call(
@@ -234,7 +241,7 @@
     async def _exchange(
         self, method: str, path: str, body: bytes = b""
     ) -> result.Outcome[http_client.Answer]:
-        connection = await self._pool.take(self._address, fresh=False)
+        connection = await self._pool.acquire(self._address, fresh=False)
         if isinstance(connection, http_client.Lost):
             return result.Failure(result.STORE_UNAVAILABLE, connection.reason)
         lines = [
@@ -249,7 +256,7 @@
             self._address, connection, head.encode() + body
         )
         if isinstance(answer, http_client.Lost):
-            if not answer.silent:
+            if not answer.timed_out:
                 self._availability.connection_broken(clock.boot_ms())
             return result.Failure(result.STORE_UNAVAILABLE, answer.reason)
         era = _era(answer.head) or self.era
--- a/packages/radishd/src/radishd/platform/wire.py
+++ b/packages/radishd/src/radishd/platform/wire.py
@@ -41,7 +41,7 @@
 _Text = Annotated[str, pydantic.Field(min_length=1, pattern=r"^[!-~]+$")]
 _Count = Annotated[int, pydantic.Field(ge=0)]
 _Time = Annotated[float, pydantic.Field(ge=0)]
-_Birth = checked.StartTimeMs
+_StartTimeMs = checked.StartTimeMs
 _Address = Annotated[
     str, pydantic.Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 ]
@@ -65,7 +65,7 @@
     # Told only by a target that leaves at short notice.
     remainingMs: _Time | None = None  # noqa: N815
     # Unix milliseconds by the target's own clock.
-    born: _Birth = 0
+    born: _StartTimeMs = 0
     models: list[_Model] = []
 
 
@@ -82,7 +82,7 @@
     plainTokens: _Time = 1.0  # noqa: N815
 
 
-_BIRTH = pydantic.TypeAdapter(_Birth)
+_START_TIME_VALIDATOR = pydantic.TypeAdapter(_StartTimeMs)
 
 
 class _Version(checked.StrictModel):
@@ -155,14 +155,14 @@
     )
 
 
-def without_secrets(spec: Any, *, told_by_peer: bool = False) -> Any:
+def without_secrets(spec: Any, *, from_peer: bool = False) -> Any:
     """Replaces the API keys of a configuration by their digests.
 
     Keys are secrets: only the bytes of the store's answer hold them.
 
     Args:
         spec: The content of any object.
-        told_by_peer: Whether another gateway told it; only then are digests
+        from_peer: Whether another gateway sent it; only then are digests
             believed that it brings itself.
 
     Returns:
@@ -171,11 +171,11 @@
     accounts = spec.get(_ACCOUNTS) if isinstance(spec, dict) else None
     if not isinstance(accounts, list):
         return spec
-    redacted = [_without_keys(one, told_by_peer) for one in accounts]
+    redacted = [_without_keys(one, from_peer) for one in accounts]
     return {**spec, _ACCOUNTS: redacted}
 
 
-def _without_keys(raw: Any, told_by_peer: bool) -> Any:
+def _without_keys(raw: Any, from_peer: bool) -> Any:
     if not isinstance(raw, dict):
         return None
     redacted = {
@@ -184,7 +184,7 @@
         if name not in (_KEYS, _KEY_DIGESTS)
     }
     keys = raw.get(_KEYS)
-    if keys is None and told_by_peer:
+    if keys is None and from_peer:
         redacted[_KEY_DIGESTS] = raw.get(_KEY_DIGESTS)
     elif isinstance(keys, list):
         redacted[_KEY_DIGESTS] = [
@@ -268,8 +268,8 @@
     if not slots or not adapter_mb:
         return slots
     base_mb = max(float(one["weightsMb"]) for one in models)
-    room_mb = float(engine.get("weightsMb") or 0) - base_mb
-    return max(0, min(slots, int(room_mb // adapter_mb)))
+    spare_mb = float(engine.get("weightsMb") or 0) - base_mb
+    return max(0, min(slots, int(spare_mb // adapter_mb)))
 
 
 def target(
@@ -309,7 +309,9 @@
 
 def _born_ms(raw: Fields) -> int:
     """Returns when this start of a target began by its own clock, or 0."""
-    return _BIRTH.validate_python(raw.get("born", 0), strict=True)
+    return _START_TIME_VALIDATOR.validate_python(
+        raw.get("born", 0), strict=True
+    )
 
 
 def _residents(models: Any) -> dict[str, int]:
--- a/packages/radishd/src/radishd/process/discovery.py
+++ b/packages/radishd/src/radishd/process/discovery.py
@@ -124,7 +124,7 @@
         self._on_store_back = on_store_back
         self._on_store_restored = on_store_restored
         self._era = 0
-        store.on_back = self._store_back
+        store.on_outage_ended = self._store_back
         store.on_restored = self._store_restored
         self.changes: collections.deque[table_changes.Change] = (
             collections.deque(maxlen=MAX_CHANGES)
@@ -425,7 +425,7 @@
             records = [
                 stored.Record(
                     name,
-                    wire.without_secrets(spec, told_by_peer=True),
+                    wire.without_secrets(spec, from_peer=True),
                     *rest,
                     era=peer_position.era,
                 )
--- a/packages/radishd/src/radishd/request/caller.py
+++ b/packages/radishd/src/radishd/request/caller.py
@@ -199,7 +199,7 @@
         self.link = link
         self.target = target
         self._reset_inbox()
-        self.stream = link.adopt(self.inbox)
+        self.stream = link.open_with_inbox(self.inbox)
         return None
 
     def submit_frame(self, now_ms: int) -> frame.Submit:
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -61,9 +61,9 @@
 
 def _outcome_of(lost: http_client.Lost) -> Outcome:
     """Returns the outcome of a send whose connection was lost."""
-    if lost.spoiled:
+    if lost.malformed:
         return Outcome.SPOILED
-    return Outcome.SILENT if lost.silent else Outcome.LOST
+    return Outcome.SILENT if lost.timed_out else Outcome.LOST
 
 
 class ReadTimeout(enum.Enum):
@@ -430,7 +430,7 @@
             gateway.load_requests.began(member, self.request.adapter)
         connection: http_client.Connection | http_client.Lost | None = None
         try:
-            connection = await gateway.pool.take(
+            connection = await gateway.pool.acquire(
                 listing.address, fresh=not self.route.repeatable
             )
             if isinstance(connection, http_client.Lost):
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -176,7 +176,7 @@
     def _note(
         self,
         order: adapter_keeper.Order,
-        ordered: engine_lib.Ordered,
+        ordered: engine_lib.OrderResult,
         took_ms: int,
     ) -> None:
         verdict = ordered.verdict.value
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -190,7 +190,7 @@
         self.servings[run_id] = serving
         self.owners[run_id] = run_id
         serving.attach(reader, 0)
-        for piece in transfer.pieces_of(self.configuration.held):
+        for piece in transfer.encode_chunks(self.configuration.held):
             serving.run.append(piece)
         serving.run.end(None)
         serving.flush(self.load())
--- a/packages/radishd/src/radishd/target_evidence.py
+++ b/packages/radishd/src/radishd/target_evidence.py
@@ -75,7 +75,7 @@
         # A leaving target cuts off what it still runs. Counted as crashes,
         # the ends of a release would quarantine slow requests.
         if self._roster.is_active(member, clock.boot_ms()):
-            self._crash_watch.broke(member, fingerprint, began_at_ms)
+            self._crash_watch.record_abort(member, fingerprint, began_at_ms)
 
     def record_error_response(
         self, member: roster_lib.Member, status: int
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -28,14 +28,14 @@
     mutants.Mutant(
         "at most once",
         "radishd/platform/front.py",
-        "    if head.get(_NOT_RUN) is not None:",
-        "    if head.get(_NOT_RUN) is not None or head.status == 500:",
+        "    if head.get(_NOT_EXECUTED) is not None:",
+        "    if head.get(_NOT_EXECUTED) is not None or head.status == 500:",
         _seeds(300, Kind.TARGET_FAULTS),
     ),
     mutants.Mutant(
         "not run is true",
         "radishd/platform/front.py",
-        "    if head.status in PROMISES:",
+        "    if head.status in NOT_EXECUTED_STATUSES:",
         "    if False:",
         _seeds(310, Kind.TARGET_FAULTS),
     ),
--- a/tests/fleet/test_accounts.py
+++ b/tests/fleet/test_accounts.py
@@ -59,7 +59,7 @@
     return request
 
 
-def test_a_key_stays_here_and_its_account_is_named() -> None:
+def test_targets_get_the_account_name_and_no_key() -> None:
     """Guards against keys at targets, and accounts that callers name."""
 
     async def play() -> None:
@@ -300,7 +300,7 @@
     fixtures.run(play)
 
 
-def test_requests_of_two_accounts_are_told_apart_by_crashes() -> None:
+def test_fingerprints_differ_between_accounts() -> None:
     """Guards against a quarantine of one account's request for another's."""
     request = ("POST", "shop.example", b"/chat/x", b"body")
     crew = fingerprint.of_request(*request, "crew")
@@ -308,7 +308,7 @@
     assert crew != fingerprint.of_request(*request)
 
 
-def test_a_key_is_told_nowhere() -> None:
+def test_keys_never_leak() -> None:
     """Guards against keys in reports, metrics, logs, peers and commands."""
 
     async def play() -> None:
@@ -320,7 +320,7 @@
             await fleet.call("/look/1", Authorization=f"Bearer {KEY} {KEY}")
             gateway = fleet.gateway
             own = gateway.settings.gateway
-            told = [
+            outputs = [
                 b"".join(written).decode(),
                 json.dumps(gateway.discovery.export_objects()),
                 json.dumps(gateway.status(), default=str),
@@ -344,9 +344,9 @@
                     )
                 )
                 assert shown.exit_code == 0, shown.output
-                told.append(shown.output)
-            assert "crew" in told[-4] and "crew" in told[-1]
-            for text in told:
+                outputs.append(shown.output)
+            assert "crew" in outputs[-4] and "crew" in outputs[-1]
+            for text in outputs:
                 assert KEY not in text and OTHER_KEY not in text
 
     fixtures.run(play)
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -249,7 +249,7 @@
             removed = gateway.roster.members["i-plain0"]
             gateway.roster.drop("i-plain0")
             gateway.evidence.record_aborted_response(removed, "07" * 16, 0)
-            assert not gateway.crash_watch.is_looking
+            assert not gateway.crash_watch.is_investigating
 
     fixtures.run(play)
 
--- a/tests/fleet/test_http_client.py
+++ b/tests/fleet/test_http_client.py
@@ -58,13 +58,13 @@
     fixtures.run(play)
 
 
-def test_bytes_on_an_idle_connection_end_it() -> None:
+def test_bytes_on_an_idle_connection_close_it() -> None:
     """A late second answer would be taken for the next request's."""
 
     async def play() -> None:
         listener, address = _listen()
         pool = pool_lib.Pool(1_000)
-        first = await pool.take(address, fresh=True)
+        first = await pool.acquire(address, fresh=True)
         peer = await _accept(listener)
         first.send(REQUEST)
         await _read(peer)
@@ -72,11 +72,11 @@
         answer = await http_client.read_answer(first)
         assert answer.body == b"ok"
         assert first.finish()
-        pool.give_back(address, first, 0)
+        pool.release(address, first, 0)
         peer.sendall(ANSWER)
         while first.is_open:
             await anyio.sleep(0)
-        second = await pool.take(address, fresh=True)
+        second = await pool.acquire(address, fresh=True)
         assert second is not first
         second.close()
         peer.close()
@@ -117,7 +117,7 @@
     fixtures.run(both)
 
 
-def test_an_answer_before_the_body_was_read_is_taken() -> None:
+def test_an_answer_before_the_body_was_read_is_accepted() -> None:
     """A target may refuse a large request as soon as it sees its head."""
 
     async def play() -> None:
--- a/tests/operators/test_explain.py
+++ b/tests/operators/test_explain.py
@@ -11,7 +11,7 @@
     return f"collector {vm}: {json.dumps(raw)}"
 
 
-def test_a_story_has_what_touched_the_request_and_no_more() -> None:
+def test_explain_shows_only_related_decisions() -> None:
     """The wish, the order and the refusal, in order, from both processes."""
     lines = [
         _line(9_000, "side-1", "order", adapter="m/a1", verdict="accepted"),
@@ -34,8 +34,8 @@
         cli.main, ["explain", "r1"], input="\n".join(lines)
     )
     assert run.exit_code == 0, run.output
-    told = run.output.splitlines()
-    assert [line.split()[3] for line in told] == [
+    output_lines = run.output.splitlines()
+    assert [line.split()[3] for line in output_lines] == [
         "load_wanted",
         "order",
         "request",
@@ -43,7 +43,7 @@
     assert "r2" not in run.output and "m/a2" not in run.output
 
 
-def test_a_request_nobody_logged_is_said_so() -> None:
+def test_an_unknown_request_id_is_an_error() -> None:
     """With an exit code of its own, so that a script notices."""
     run = testing.CliRunner().invoke(cli.main, ["explain", "r9"], input="")
     assert run.exit_code != 0
--- a/tests/operators/test_fleet.py
+++ b/tests/operators/test_fleet.py
@@ -36,7 +36,7 @@
     )
 
 
-def test_a_change_is_told_by_name_field_and_both_values() -> None:
+def test_a_change_is_described_by_name_field_and_both_values() -> None:
     """An operator sees at once that a timeout was lowered, and to what."""
     before = _table(1, _route(), _route(name="old"))
     after = _table(2, _route(timeout_ms=300), _route(name="new"))
@@ -47,7 +47,7 @@
     )
 
 
-def test_keys_that_come_and_go_are_counted_by_account() -> None:
+def test_added_and_removed_keys_are_counted_by_account() -> None:
     """Guards against a change of keys that operators see nothing of."""
     crew = client_account.ClientAccount("crew")
 
@@ -58,20 +58,20 @@
             version, [], [], route_table.EMPTY.limits, directory
         )
 
-    told = table_changes.describe(table(1, b"a", b"b"), table(2, b"a", b"c"))
-    assert told == ("account crew: keys 1 added, 1 removed",)
+    changes = table_changes.describe(table(1, b"a", b"b"), table(2, b"a", b"c"))
+    assert changes == ("account crew: keys 1 added, 1 removed",)
 
 
-def test_a_version_with_very_many_changes_is_kept_in_part() -> None:
+def test_the_stored_changes_of_a_version_are_bounded() -> None:
     """Symptom: gateways grow by megabytes when routes are added in bulk.
 
     Sequence: one version adds two thousand routes. Cause: a line was kept of
     each, for the last thirty-two versions.
     """
     routes = [_route(name=f"r{number}") for number in range(2_000)]
-    told = table_changes.describe(_table(1), _table(2, *routes))
-    assert len(told) == table_changes.MAX_DETAILS + 1
-    assert told[-1] == "1900 further changes"
+    changes = table_changes.describe(_table(1), _table(2, *routes))
+    assert len(changes) == table_changes.MAX_DETAILS + 1
+    assert changes[-1] == "1900 further changes"
 
 
 async def _radishctl(fleet: fixtures.Fleet, *words: str) -> testing.Result:
@@ -97,10 +97,10 @@
                 lambda: fleet.gateway.table.version == changed["version"],
                 "the change is in force",
             )
-            told = await _radishctl(fleet, "fleet", "history", admin)
-            assert told.exit_code == 0, told.output
+            changes = await _radishctl(fleet, "fleet", "history", admin)
+            assert changes.exit_code == 0, changes.output
             name = changed["routes"][0]["name"]
-            assert f"route {name}: timeout_ms" in told.output
+            assert f"route {name}: timeout_ms" in changes.output
             shown = await _radishctl(fleet, "fleet", "config")
             assert f"version: {changed['version']}" in shown.output
             status = await _radishctl(
