--- a/packages/radishctl/src/radishctl/explain.py
+++ b/packages/radishctl/src/radishctl/explain.py
@@ -1,14 +1,14 @@
-"""The story of one request, from the decision logs of several processes."""
+"""Collects the decisions on one request from several decision logs."""
 
 from collections.abc import Iterable
 import dataclasses
 import json
 from typing import Any
 
-# Clocks of VMs differ, and a load that a request waited for may have been
-# ordered for another just before; both lie within this.
+# Covers clock differences between VMs, and a load that was ordered for another
+# request shortly before this request began to wait for it.
 MARGIN_MS = 3_000
-# Fields that every line has, or that the heading of the story shows.
+# Fields that are rendered as columns before the other fields.
 _HEADING_FIELDS = ("at_ms", "event", "vm")
 
 
@@ -17,10 +17,10 @@
     """One line of a decision log.
 
     Attributes:
-        at_ms: Time of day on its VM.
-        vm: Its VM.
-        event: What was decided.
-        fields: The inputs and the outcome.
+        at_ms: Wall-clock time of the VM.
+        vm: The VM that logged the line.
+        event: The log event.
+        fields: Inputs and outcome of the decision.
     """
 
     at_ms: int
@@ -30,11 +30,11 @@
 
 
 def read_lines(texts: Iterable[str]) -> list[Line]:
-    """Reads decision lines and passes over all others.
+    """Parses decision lines and skips all others.
 
     Args:
-        texts: Lines of logs; a collector may have put words of its own
-            before the JSON.
+        texts: Log lines; a log collector may have added a prefix before the
+            JSON.
 
     Returns:
         The decisions.
@@ -57,15 +57,15 @@
 
 
 def request_lines(lines: list[Line], request_id: str) -> list[Line]:
-    """Picks what touches one request, in the order in which it happened.
+    """Returns the lines related to one request, ordered by time.
 
     Args:
         lines: Decisions of all processes.
         request_id: The request.
 
     Returns:
-        Its own line, and, from shortly before it came to its end, what was
-        decided on its adapter and what was learned of its targets.
+        The lines of the request itself, and those on its adapter and its
+        targets from shortly before it began until shortly after it ended.
     """
     own = [one for one in lines if one.fields.get("request") == request_id]
     if not own:
@@ -104,7 +104,7 @@
 
 
 def render(lines: list[Line], request_id: str) -> list[str]:
-    """Renders a story, with times from the request's own line."""
+    """Renders lines with times relative to the request's own line."""
     own = next(one for one in lines if one.fields.get("request") == request_id)
     rendered = []
     for line in lines:
--- a/packages/radishctl/src/radishctl/fleet.py
+++ b/packages/radishctl/src/radishctl/fleet.py
@@ -1,7 +1,8 @@
-"""``radishctl fleet``: a deployment on the users' platform.
+"""``radishctl fleet``: inspects a deployment on the users' platform.
 
-Operators write the configuration to the platform's store themselves; these
-commands only read: what is in force, what changed, and who is behind.
+Operators write the configuration to the platform's store themselves. These
+commands only read: they show the configuration in force, its changes and
+processes with an outdated version.
 """
 
 import collections
@@ -33,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _StoredDeployment:
-    """What the platform's store holds of a deployment."""
+    """Route table and targets of a deployment, read from the store."""
 
     table: route_table.RouteTable
     targets: tuple[roster_lib.Listing, ...]
@@ -61,7 +62,8 @@
             record.name, record.spec, record.created, record.revision
         )
         if isinstance(target, result.Failure):
-            # Ended by it, an operator could not look for who wrote it.
+            # If the command failed here, an operator could not find out who
+            # wrote the invalid object.
             click.echo(f"passed over: {target.message}", err=True)
             continue
         targets.append(target)
@@ -134,8 +136,8 @@
     reports = anyio.run(_ask_all, admin, deployment)
     used: collections.Counter[str] = collections.Counter()
     for report in reports:
-        for name, books in report.get("accounts", {}).items():
-            used[name] += round(books["sent"])
+        for name, usage in report.get("accounts", {}).items():
+            used[name] += round(usage["sent"])
     by_use = sorted(
         directory.accounts.values(), key=lambda one: -used[one.name]
     )
--- a/packages/radishctl/src/radishctl/output.py
+++ b/packages/radishctl/src/radishctl/output.py
@@ -1,4 +1,4 @@
-"""Rendering results as tables or JSON."""
+"""Renders results as tables or JSON."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 class Format(enum.StrEnum):
-    """How results are printed."""
+    """Output format of results."""
 
     TABLE = "table"
     JSON = "json"
@@ -25,7 +25,7 @@
         rows: The cells of each row.
 
     Returns:
-        The lines.
+        The table as text.
     """
     cells = [list(headings), *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
--- a/packages/radishctl/src/radishctl/processes.py
+++ b/packages/radishctl/src/radishctl/processes.py
@@ -1,4 +1,4 @@
-"""What running processes say of themselves on their admin ports."""
+"""Reads the status of running processes from their admin ports."""
 
 import datetime
 import json
@@ -14,20 +14,20 @@
 
 
 def format_time(at_ms: int) -> str:
-    """Renders a time of day."""
+    """Formats a Unix time in milliseconds as ISO 8601 in UTC."""
     at = datetime.datetime.fromtimestamp(at_ms / MS_PER_S, datetime.UTC)
     return at.isoformat(timespec="seconds")
 
 
 async def collect(admins: tuple[str, ...]) -> list[dict[str, Any]]:
-    """Asks processes for their state, all at once.
+    """Reads the status of several processes concurrently.
 
     Args:
         admins: Admin addresses, ``ip:port``.
 
     Returns:
-        Their answers in the same order; one that does not answer is said to
-        be so in ``ready``.
+        Their reports in the same order. The report of a process that does not
+        answer states so in ``ready``.
     """
     reports: dict[str, dict[str, Any]] = {}
 
--- a/packages/radishctl/src/radishctl/session.py
+++ b/packages/radishctl/src/radishctl/session.py
@@ -1,4 +1,4 @@
-"""One call of the command line against the platform."""
+"""State and helpers of one ``radishctl`` invocation."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Session:
-    """What every command needs.
+    """Options shared by all commands.
 
     Attributes:
-        platform: Where the object API is.
-        operator: Who acts, for the audit trail.
-        output: How results are printed.
+        platform: Settings of the platform's object API.
+        operator: Name of the operator, for the audit trail.
+        output: Output format of results.
     """
 
     platform: settings_lib.PlatformSettings
@@ -73,7 +73,7 @@
         base: holder_lib.Held,
         reason: str,
     ) -> None:
-        """Gets a change accepted and says in which version."""
+        """Proposes a change and prints the version that accepted it."""
         if not operations:
             click.echo(f"nothing to change in version {base.version}")
             return
@@ -91,7 +91,7 @@
 
 
 def fail(failure: result.Failure) -> None:
-    """Prints a failure with its number and exits with its code."""
+    """Prints a failure with its number and exits with its exit code."""
     click.echo(
         f"{failure.code.number} {failure.code.name}: {failure.message}",
         err=True,
@@ -100,7 +100,7 @@
 
 
 def default_operator() -> str:
-    """Returns the login name, or a placeholder without one."""
+    """Returns the login name, or a placeholder if there is none."""
     try:
         return getpass.getuser()
     except (OSError, KeyError):
--- a/packages/radishd/src/radishd/connection/__init__.py
+++ b/packages/radishd/src/radishd/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection between two processes."""
+"""Network connections to other processes and to targets."""
--- a/packages/radishd/src/radishd/connection/backend.py
+++ b/packages/radishd/src/radishd/connection/backend.py
@@ -1,9 +1,9 @@
-"""The sockets that httpcore uses, with a cheap read.
+"""Network backend for httpcore with low overhead per read.
 
-A token of a stream is one read. The stock backend opens a cancel scope and
-maps exceptions around every read, which costs more than the read itself;
-here a read without a timeout does neither. Whoever reads without a timeout
-watches for silence by other means.
+Each token of a stream is one read. The stock backend opens a cancel scope and
+maps exceptions around every read, which costs more than the read itself. This
+backend opens no cancel scope for a read without a timeout. Callers that read
+without a timeout detect stalls by other means.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
         self._stream = stream
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Reads what is there, empty at the end."""
+        """Reads available bytes; returns empty bytes at end of stream."""
         try:
             if timeout is None:
                 return await self._stream.receive(max_bytes)
@@ -38,7 +38,7 @@
             raise httpcore.ReadError from error
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Writes all of a buffer."""
+        """Writes a whole buffer."""
         if not buffer:
             return
         try:
@@ -59,11 +59,11 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Is not needed on a VM's own loopback."""
+        """Is not implemented; connections on the VM's loopback use no TLS."""
         raise NotImplementedError
 
     def get_extra_info(self, info: str) -> Any:
-        """Tells httpcore whether the socket can be read."""
+        """Returns whether the socket is readable, None for other queries."""
         if info != "is_readable":
             return None
         socket = self._stream.extra(anyio.abc.SocketAttribute.raw_socket)
@@ -79,7 +79,7 @@
 
 
 class Backend(httpcore.AsyncNetworkBackend):
-    """Opens the sockets."""
+    """Opens TCP connections for httpcore."""
 
     async def connect_tcp(
         self,
@@ -101,5 +101,5 @@
         return Stream(stream)
 
     async def sleep(self, seconds: float) -> None:
-        """Waits between httpcore's own tries to connect."""
+        """Sleeps between httpcore's connection retries."""
         await anyio.sleep(seconds)
--- a/packages/radishd/src/radishd/connection/crash_watch.py
+++ b/packages/radishd/src/radishd/connection/crash_watch.py
@@ -1,8 +1,8 @@
-"""Tells targets that ended from connections that only broke.
+"""Distinguishes crashed targets from connections that only broke.
 
-An answer that breaks off proves little: a link, a limit on connections or a
-lost answer looks the same. A target that has ended has no connection left, and
-refuses new ones until it is started again, seconds later.
+An aborted response alone does not prove a crash: a network fault, a connection
+limit or a lost response looks the same. A crashed target has no open
+connections and refuses new ones until it is restarted, seconds later.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,10 @@
 from radishd.process import metrics as metrics_lib
 
 MS_PER_S = 1_000
-# All answers of a target that ends break at the same moment; those that are
-# noticed within this time are looked into together.
+# All responses of a crashing target are aborted at the same time. Those
+# observed within this time are investigated together.
 COALESCE_MS = 10
 CONNECT_TIMEOUT_MS = 400
-# Fingerprints that a line of the log holds.
 MAX_LOGGED_FINGERPRINTS = 8
 
 OnCrash = Callable[[crash_lib.Crash], None]
@@ -38,7 +37,7 @@
 
 
 class CrashWatch:
-    """The sends of one gateway that broke, by start of a target."""
+    """Aborted sends of one gateway, by incarnation of a target."""
 
     def __init__(
         self,
@@ -47,25 +46,25 @@
         metrics: metrics_lib.Metrics,
         on_crash: OnCrash,
     ) -> None:
-        """Starts with none.
+        """Starts without aborted sends.
 
         Args:
-            pool: Connections to targets that are kept.
-            log: Where crashes are logged.
-            metrics: Where they are counted.
-            on_crash: Told of each start that was seen to have ended.
+            pool: Idle connections to targets.
+            log: Decision log that records crashes.
+            metrics: Metrics that count them.
+            on_crash: Called for each incarnation that has crashed.
         """
         self._pool = pool
         self._log = log
         self._metrics = metrics
         self._on_crash = on_crash
-        self._broken: dict[incarnation.IncarnationId, _AbortedSends] = {}
+        self._aborted: dict[incarnation.IncarnationId, _AbortedSends] = {}
         self._wake = anyio.Event()
 
     @property
     def is_investigating(self) -> bool:
-        """Whether a broken send is yet to be looked into."""
-        return bool(self._broken)
+        """Whether an aborted send has yet to be investigated."""
+        return bool(self._aborted)
 
     def record_abort(
         self, member: roster_lib.Member, fingerprint: str, began_at_ms: int
@@ -74,36 +73,36 @@
 
         Args:
             member: The target.
-            fingerprint: The request's.
+            fingerprint: Fingerprint of the request.
             began_at_ms: When the request was sent.
         """
         listing = member.listing
-        broken = self._broken.setdefault(
+        aborted = self._aborted.setdefault(
             listing.incarnation_id,
             _AbortedSends(listing.address, clock.boot_ms(), {}),
         )
-        broken.suspects[fingerprint] = crash_lib.Suspect(
+        aborted.suspects[fingerprint] = crash_lib.Suspect(
             fingerprint, began_at_ms
         )
         self._wake.set()
 
     async def run(self) -> None:
-        """Looks into broken sends until cancelled."""
+        """Investigates aborted sends until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 await self._wake.wait()
                 self._wake = anyio.Event()
                 await anyio.sleep(COALESCE_MS / MS_PER_S)
-                broken, self._broken = self._broken, {}
-                for incarnation_id, sends in broken.items():
+                aborted, self._aborted = self._aborted, {}
+                for incarnation_id, sends in aborted.items():
                     tasks.start_soon(self._investigate, incarnation_id, sends)
 
     async def _investigate(
-        self, incarnation_id: incarnation.IncarnationId, broken: _AbortedSends
+        self, incarnation_id: incarnation.IncarnationId, aborted: _AbortedSends
     ) -> None:
-        reason = await self._termination_reason(broken.address)
+        reason = await self._termination_reason(aborted.address)
         ended = bool(reason)
-        suspects = tuple(broken.suspects.values())
+        suspects = tuple(aborted.suspects.values())
         self._metrics.crashes.inc({"ended": "yes" if ended else "no"})
         self._log.write(
             "target_broke_off",
@@ -111,7 +110,7 @@
             born_ms=incarnation_id.born_ms,
             ended=ended,
             reason=reason or "it can be connected to",
-            age_ms=clock.boot_ms() - broken.at_ms,
+            age_ms=clock.boot_ms() - aborted.at_ms,
             suspects=len(suspects),
             fingerprints=[
                 one.fingerprint for one in suspects[:MAX_LOGGED_FINGERPRINTS]
@@ -119,11 +118,11 @@
         )
         if ended:
             self._on_crash(
-                crash_lib.Crash(incarnation_id, broken.at_ms, suspects)
+                crash_lib.Crash(incarnation_id, aborted.at_ms, suspects)
             )
 
     async def _termination_reason(self, address: str) -> str:
-        """Returns why a target is held to have ended, empty if it is not."""
+        """Returns why a target counts as crashed, empty if it does not."""
         if self._pool.has_open(address):
             return ""
         connection = await http_client.open_connection(
--- a/packages/radishd/src/radishd/connection/http_client.py
+++ b/packages/radishd/src/radishd/connection/http_client.py
@@ -1,9 +1,9 @@
 """One HTTP/1.1 connection to a target or to the platform.
 
-``httpcore`` reads no response before the request's body is written, cannot
-skip a response that belongs to an earlier request, and takes several times
-the processor time for each event of a stream, so this drives the parser that
-``uvicorn`` uses, ``httptools``, on an asyncio transport.
+``httpcore`` reads no response before it has written the request body, cannot
+skip a response that belongs to an earlier request, and uses several times the
+CPU time for each event of a stream. This client therefore drives
+``httptools``, the parser of ``uvicorn``, on an asyncio transport.
 """
 
 import asyncio
@@ -14,18 +14,18 @@
 
 import httptools
 
-# Linux: unacknowledged bytes fail the connection after this, and an idle one
-# is probed each second, so that a peer behind a cut link is noticed within
-# about three seconds instead of minutes.
+# Linux closes the connection when sent bytes stay unacknowledged for this long,
+# and probes an idle connection every second. A peer behind a network partition
+# is thus detected within about three seconds instead of minutes.
 USER_TIMEOUT_MS = 2_500
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
-# Unread bytes of an answer above which the peer is asked to wait.
+# Reading from the socket pauses above this many unread response bytes.
 HIGH_WATER_BYTES = 256 * 1024
 MAX_HEADERS_BYTES = 64 * 1024
 FIRST_FINAL_STATUS = 200
-# SO_LINGER on with zero seconds: closing resets the connection.
+# With SO_LINGER on and zero seconds, closing resets the connection.
 _RESET = struct.pack("ii", 1, 0)
 NO_CONTENT = (204, 304)
 
@@ -49,13 +49,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """A sentinel for "no more of this answer", with the reason.
+    """Returned in place of a response when the connection is lost.
 
     Attributes:
-        reason: What was seen.
-        spoiled: Whether bytes came that are no answer.
-        silent: Whether the peer had not been heard for as long as its
-            connection bears; otherwise it ended the connection itself.
+        reason: The error, for logs.
+        malformed: Whether the peer sent bytes that are not a valid response.
+        timed_out: Whether the connection timed out at the TCP level because
+            the peer was unreachable; otherwise the peer closed it.
     """
 
     reason: str
@@ -64,7 +64,7 @@
 
 
 class _Incoming:
-    """One response as far as it has been parsed."""
+    """One response, as far as it has been parsed."""
 
     __slots__ = (
         "chunks",
@@ -102,7 +102,7 @@
         self.tainted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sets the socket options that bound silence."""
+        """Sets socket options that detect an unreachable peer."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         for level, option, value in (
@@ -116,10 +116,11 @@
             sock.setsockopt(level, option, value)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrived."""
+        """Parses received bytes."""
         if not self._busy:
-            # Nobody waits for an answer: a late second answer to an earlier
-            # request. Reused, the connection would give it to the next one.
+            # No request is pending, so this is a late second response to an
+            # earlier one. A reused connection would return it to the next
+            # request.
             self._fail(Lost("bytes without a request", malformed=True))
             return
         try:
@@ -130,7 +131,7 @@
         self._wake()
 
     def on_message_begin(self) -> None:
-        """Begins a response."""
+        """Starts a response."""
         self._parsing = _Incoming()
         self._incoming.append(self._parsing)
 
@@ -139,7 +140,7 @@
         self._parsing.header_list.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Ends the headers."""
+        """Stores status and headers of the response."""
         incoming = self._parsing
         status = self._parser.get_status_code()
         incoming.head = Head(status, tuple(incoming.header_list))
@@ -161,7 +162,7 @@
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Ends a response."""
+        """Marks a response as complete and drops an informational one."""
         incoming = self._parsing
         self._parsing = None
         if incoming.head.status < FIRST_FINAL_STATUS:
@@ -170,11 +171,11 @@
         incoming.complete = True
 
     def eof_received(self) -> bool:
-        """Handles the peer's end of the connection; ours follows."""
+        """Closes the connection after the peer has closed its side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Handles the end of the connection."""
+        """Completes an unframed response or records why the peer is lost."""
         parsing = self._parsing
         if (
             error is None
@@ -183,8 +184,8 @@
             and parsing.head is not None
             and not parsing.framed
         ):
-            # Without a length the answer ends with its connection; a reset
-            # is an error and never gets here.
+            # A response without a length ends when the connection closes.
+            # A reset sets ``error`` and is not handled here.
             parsing.complete = True
             parsing.keeps_alive = False
             self._parsing = None
@@ -214,7 +215,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it can carry a request, as far as is known."""
+        """Whether the connection can carry a request, as far as known."""
         return (
             self._lost is None
             and not self.tainted
@@ -223,11 +224,11 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether it carries a request."""
+        """Whether a request is in progress."""
         return self._busy
 
     def announced_keep_alive_s(self) -> int:
-        """Returns the idle seconds announced with the present response."""
+        """Returns the keep-alive timeout of the current response."""
         return keep_alive_s(self._incoming[0].head)
 
     def send(self, data: bytes) -> None:
@@ -245,10 +246,10 @@
             await self._wait()
 
     async def chunk(self) -> bytes | Lost:
-        """Waits for more of the body.
+        """Waits for more bytes of the body.
 
         Returns:
-            The bytes that are there, empty at the end of a whole response.
+            The available bytes, empty at the end of a complete response.
         """
         incoming = self._incoming[0]
         while True:
@@ -267,7 +268,7 @@
             await self._wait()
 
     async def skip(self) -> Lost | None:
-        """Reads a response that is not wanted to its end, and drops it."""
+        """Reads an unneeded response to its end and drops it."""
         while True:
             data = await self.chunk()
             if isinstance(data, Lost):
@@ -278,10 +279,10 @@
                 return None
 
     def finish(self) -> bool:
-        """Ends a request whose response is whole.
+        """Finishes a request whose response is complete.
 
         Returns:
-            Whether the connection may carry another one.
+            Whether the connection can carry another request.
         """
         incoming = self._incoming.popleft()
         clean = not self._incoming and self._parsing is None
@@ -292,13 +293,13 @@
         return True
 
     def close(self) -> None:
-        """Closes it; a request under way is cut off."""
+        """Closes the connection; a request in progress is aborted."""
         if self._transport is None:
             return
         if self._busy:
-            # A plain close would still deliver what a frozen or cut-off peer
-            # has not taken yet, seconds after the caller left: a reset has
-            # those bytes dropped on the way.
+            # A plain close would still deliver buffered bytes to a paused or
+            # partitioned peer, seconds after the caller disconnected. A reset
+            # discards them.
             sock = self._transport.get_extra_info("socket")
             if sock is not None and not self._transport.is_closing():
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
@@ -308,14 +309,14 @@
 
 
 async def open_connection(address: str, timeout_ms: float) -> Connection | Lost:
-    """Connects.
+    """Opens a connection.
 
     Args:
         address: ``ip:port``.
-        timeout_ms: How long it may take.
+        timeout_ms: Connect timeout.
 
     Returns:
-        The connection, or why there is none.
+        The connection, or why it could not be opened.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -333,14 +334,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole response."""
+    """A complete response."""
 
     head: Head
     body: bytes
 
 
 async def read_answer(connection: Connection) -> Answer | Lost:
-    """Reads a whole response that is not a stream."""
+    """Reads a complete response that is not a stream."""
     head = await connection.head()
     if isinstance(head, Lost):
         return head
@@ -363,7 +364,7 @@
 
 
 def keep_alive_s(head: Head) -> int:
-    """Returns the idle seconds that a peer announced, 0 if it did not."""
+    """Returns the keep-alive timeout that a peer announced, 0 if none."""
     value = head.get(b"keep-alive") or b""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
--- a/packages/radishd/src/radishd/connection/inbox.py
+++ b/packages/radishd/src/radishd/connection/inbox.py
@@ -1,4 +1,4 @@
-"""What has arrived for one stream, until its request takes it."""
+"""Queue of received frames of one stream."""
 
 import collections
 
@@ -18,17 +18,17 @@
         self._wake: anyio.Event | None = None
 
     def __len__(self) -> int:
-        """How many items wait."""
+        """Returns the number of queued items."""
         return len(self._items)
 
     def put(self, item: object) -> None:
-        """Adds an item; never blocks. The peer's window bounds the number."""
+        """Adds an item without blocking; the peer's window bounds the queue."""
         self._items.append(item)
         if self._wake is not None:
             self._wake.set()
 
     def take_ready(self) -> object | None:
-        """Returns an item that is there already, or None."""
+        """Returns the next queued item, or None."""
         return self._items.popleft() if self._items else None
 
     async def take(self) -> object:
--- a/packages/radishd/src/radishd/connection/link.py
+++ b/packages/radishd/src/radishd/connection/link.py
@@ -1,4 +1,4 @@
-"""The calling side of a connection: many streams on one socket."""
+"""Client side of a connection: many streams on one socket."""
 
 import itertools
 
@@ -18,7 +18,7 @@
 MS_PER_S = 1000.0
 
 
-_WINDOW_IGNORED = result.Failure(
+_WINDOW_EXCEEDED = result.Failure(
     result.FRAME_MALFORMED, "the peer sends without regard to its window"
 )
 
@@ -30,7 +30,7 @@
         """Wraps a connected socket.
 
         Args:
-            name: The target.
+            name: Name of the target.
             stream: The socket.
         """
         self.name = name
@@ -46,16 +46,16 @@
         return self.open_with_inbox(inbox), inbox
 
     def open_with_inbox(self, inbox: inbox_lib.Inbox) -> int:
-        """Opens a stream whose frames go to an inbox that exists."""
+        """Opens a stream whose frames go to an existing inbox."""
         stream_id = next(self._ids)
         self.inboxes[stream_id] = inbox
         return stream_id
 
     def close(self, stream_id: int) -> None:
-        """Ends a stream here and there; its late frames are dropped.
+        """Closes a stream on both sides; its late frames are dropped.
 
-        The peer forgets a run only on this word, since the end it sent may
-        have been lost with a connection.
+        The peer drops a run only on this message, because its own end frame
+        may have been lost with a connection.
         """
         if self.inboxes.pop(stream_id, None) is not None and not self.lost:
             self.send(stream_id, frame.Cancel())
@@ -65,7 +65,7 @@
         self.writer.write(frame.encode(stream_id, body))
 
     async def run(self) -> None:
-        """Reads and writes until the connection ends, then tells all."""
+        """Runs until the connection closes, then notifies all streams."""
         try:
             failure = await pump.run(
                 self._stream, self.writer, self._handle_frame
@@ -87,7 +87,7 @@
         if inbox is None:
             return None
         if len(inbox) >= MAX_INBOX_ITEMS:
-            return _WINDOW_IGNORED
+            return _WINDOW_EXCEEDED
         inbox.put(received.body)
         return None
 
@@ -102,12 +102,12 @@
         process: bytes,
         connect_timeout_ms: int,
     ) -> None:
-        """Starts with none.
+        """Starts without connections.
 
         Args:
-            tasks: Where connections run.
+            tasks: Task group that runs the connections.
             process: Identity of this process.
-            connect_timeout_ms: How long connecting may take.
+            connect_timeout_ms: Connect timeout.
         """
         self._tasks = tasks
         self._process = process
@@ -117,14 +117,14 @@
         self.version = 0
 
     async def get(self, name: str, address: str) -> result.Outcome[Link]:
-        """Returns the connection to a target process, opening it if need be.
+        """Returns the connection to a target process, opening it if needed.
 
         Args:
-            name: The target.
-            address: ``ip:port`` in the version the caller holds.
+            name: Name of the target.
+            address: ``ip:port`` in the configuration version of the caller.
 
         Returns:
-            The connection, or a failure that proves nothing was sent.
+            The connection, or a failure that proves that nothing was sent.
         """
         link = self._links.get(address)
         if link is not None and not link.lost:
--- a/packages/radishd/src/radishd/connection/listener.py
+++ b/packages/radishd/src/radishd/connection/listener.py
@@ -1,4 +1,4 @@
-"""The serving side of connections to a target process."""
+"""Server side of connections to a target process."""
 
 import functools
 import itertools
@@ -26,7 +26,7 @@
 
 
 class Connection:
-    """One connection of another process."""
+    """One connection from another process."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self.offset = clock_offset.ClockOffset()
 
     async def run(self) -> None:
-        """Reads and writes until the connection ends."""
+        """Reads and writes until the connection closes."""
         hello = frame.Hello(
             self.process.identity,
             self.process.configuration.held.version,
@@ -64,12 +64,12 @@
         return _handle_frame(received.body, self, received.stream)
 
     def _report_bad_frame(self, failure: result.Failure) -> None:
-        """A bad frame ends its connection and nothing else."""
+        """Logs and counts a bad frame, which closes only its connection."""
         logs.error("bad_frame", failure.code, reason=failure.message)
         self.process.metrics.refusals.inc({"code": str(failure.code.number)})
 
     def open_stream(self, stream: int) -> result.Failure | None:
-        """Checks the id of a new stream; ids only grow."""
+        """Checks the id of a new stream; ids must increase."""
         if stream <= self.highest_stream:
             return result.Failure(
                 result.STREAM_REUSED, f"stream {stream} was used before"
@@ -205,7 +205,7 @@
 def _check_closed_stream(
     connection: Connection, stream: int
 ) -> result.Failure | None:
-    """A frame for a stream that has ended is late; for no stream, bad."""
+    """Ignores a frame of a closed stream, rejects one of an unopened one."""
     if stream <= connection.highest_stream:
         return None
     return result.Failure(
@@ -222,7 +222,7 @@
 
     Args:
         process: The target process.
-        task_status: Told once it listens.
+        task_status: Notified once the socket is listening.
     """
     host, port = settings_lib.split_address(process.own.listen)
     listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
--- a/packages/radishd/src/radishd/connection/pool.py
+++ b/packages/radishd/src/radishd/connection/pool.py
@@ -1,7 +1,7 @@
-"""Kept connections to targets, and which of them may be trusted.
+"""Pool of idle connections to targets.
 
-A kept connection saves a handshake; one that the peer is about to close costs
-a request, which for a request that must not run twice is lost for good.
+A reused connection saves a handshake. If the peer is about to close it, the
+request fails, and a request that must not run twice cannot be retried.
 """
 
 import dataclasses
@@ -9,13 +9,13 @@
 from radishd.connection import http_client
 from radishd.process import clock
 
-# Idle time after which a connection is not trusted, where the peer said
-# nothing of its own; and the part of what it said that is used, since its
-# clock started earlier than ours.
+# Connections idle for longer are not reused, unless the peer announced a
+# keep-alive timeout. Only a fraction of that timeout is used, because the
+# peer's idle timer started earlier than ours.
 DEFAULT_IDLE_MS = 2_000
 KEEP_ALIVE_FRACTION = 0.5
 MAX_IDLE_MS = 10_000
-# Requests that must not run twice take only connections used this recently.
+# Requests that must not run twice use only connections used this recently.
 MAX_FRESH_IDLE_MS = 1_500
 MAX_IDLE_PER_ADDRESS = 32
 MS_PER_S = 1_000
@@ -29,15 +29,15 @@
 
 
 class Pool:
-    """Kept connections by address."""
+    """Idle connections by address."""
 
     def __init__(self, connect_timeout_ms: int) -> None:
         """Starts empty.
 
         Args:
-            connect_timeout_ms: How long a new connection may take.
+            connect_timeout_ms: Connect timeout of new connections.
         """
-        self._kept: dict[str, list[_IdleConnection]] = {}
+        self._idle: dict[str, list[_IdleConnection]] = {}
         self._connect_timeout_ms = connect_timeout_ms
 
     async def acquire(
@@ -46,16 +46,16 @@
         """Returns a pooled connection, or opens one.
 
         Args:
-            address: Where to.
-            fresh: Whether the request may not be sent again.
+            address: Address to connect to.
+            fresh: Whether the request must not be sent again.
 
         Returns:
-            The connection, or why there is none.
+            The connection, or why none could be opened.
         """
         now_ms = clock.boot_ms()
-        kept = self._kept.get(address, [])
-        while kept:
-            one = kept.pop()
+        idle = self._idle.get(address, [])
+        while idle:
+            one = idle.pop()
             usable_until_ms = one.expires_at_ms
             if fresh:
                 fresh_until_ms = one.idle_since_ms + MAX_FRESH_IDLE_MS
@@ -73,15 +73,15 @@
         connection: http_client.Connection,
         keep_alive_s: int,
     ) -> None:
-        """Returns a connection to the pool after a whole response.
+        """Returns a connection to the pool after a complete response.
 
         Args:
-            address: Where it leads.
+            address: Address that the connection is open to.
             connection: The connection, already finished.
-            keep_alive_s: Idle seconds that the peer announced, 0 if it did not.
+            keep_alive_s: Keep-alive timeout that the peer announced, 0 if none.
         """
-        kept = self._kept.setdefault(address, [])
-        if len(kept) >= MAX_IDLE_PER_ADDRESS:
+        idle = self._idle.setdefault(address, [])
+        if len(idle) >= MAX_IDLE_PER_ADDRESS:
             connection.close()
             return
         now_ms = clock.boot_ms()
@@ -90,7 +90,7 @@
             idle_ms = min(
                 int(keep_alive_s * MS_PER_S * KEEP_ALIVE_FRACTION), MAX_IDLE_MS
             )
-        kept.append(_IdleConnection(connection, now_ms, now_ms + idle_ms))
+        idle.append(_IdleConnection(connection, now_ms, now_ms + idle_ms))
 
     async def exchange(
         self, address: str, connection: http_client.Connection, data: bytes
@@ -117,32 +117,32 @@
         return answer
 
     def has_open(self, address: str) -> bool:
-        """Whether a kept connection to an address has not been ended."""
+        """Whether an idle connection to an address is still open."""
         return any(
-            one.connection.is_open for one in self._kept.get(address, ())
+            one.connection.is_open for one in self._idle.get(address, ())
         )
 
     def drop(self, address: str) -> None:
-        """Closes what is kept for an address."""
-        for one in self._kept.pop(address, []):
+        """Closes all idle connections to an address."""
+        for one in self._idle.pop(address, []):
             one.connection.close()
 
     def drop_all(self) -> None:
-        """Closes all that is kept, as after this process stood still."""
-        for address in list(self._kept):
+        """Closes all idle connections, as after a process pause."""
+        for address in list(self._idle):
             self.drop(address)
 
     def sweep(self) -> None:
-        """Closes what has been idle too long."""
+        """Closes connections that expired or that the peer closed."""
         now_ms = clock.boot_ms()
-        for address, kept in list(self._kept.items()):
+        for address, idle in list(self._idle.items()):
             stale = [
                 one
-                for one in kept
+                for one in idle
                 if now_ms >= one.expires_at_ms or not one.connection.is_open
             ]
             for one in stale:
-                kept.remove(one)
+                idle.remove(one)
                 one.connection.close()
-            if not kept:
-                del self._kept[address]
+            if not idle:
+                del self._idle[address]
--- a/packages/radishd/src/radishd/connection/pump.py
+++ b/packages/radishd/src/radishd/connection/pump.py
@@ -1,4 +1,4 @@
-"""Moving frames between one socket and whoever takes them."""
+"""Reads and writes frames on one socket."""
 
 from collections.abc import Callable
 
@@ -20,15 +20,15 @@
     writer: writer_lib.Writer,
     handle_frame: FrameHandler,
 ) -> result.Failure | None:
-    """Reads and writes until a connection ends.
+    """Reads and writes until a connection closes.
 
     Args:
         stream: The connected socket; closed when this returns.
-        writer: What is queued here is written.
-        handle_frame: Called with every frame; a failure ends the connection.
+        writer: Queue of outgoing frames.
+        handle_frame: Called with every frame; a failure closes the connection.
 
     Returns:
-        What was wrong with a frame, or None if the peer ended it.
+        What was wrong with a frame, or None if the peer closed the connection.
     """
     failure: result.Failure | None = None
     try:
--- a/packages/radishd/src/radishd/connection/transfer.py
+++ b/packages/radishd/src/radishd/connection/transfer.py
@@ -1,4 +1,4 @@
-"""A whole version from a peer, for a process that starts in an outage."""
+"""Transfers a configuration version from a peer during a store outage."""
 
 import json
 
@@ -21,7 +21,7 @@
 
 
 def encode_chunks(held: holder_lib.Held) -> list[bytes]:
-    """Cuts a version into chunks; the first names it."""
+    """Splits a version into chunks; the first identifies it."""
     head = {"version": held.version, "write_id": held.write_id}
     data = json.dumps(document_lib.to_plain(held.document)).encode()
     return [
@@ -34,7 +34,7 @@
 
 
 def join(chunks: list[bytes]) -> result.Outcome[holder_lib.Held]:
-    """Puts a version together from its chunks."""
+    """Reassembles a version from its chunks."""
     try:
         head = json.loads(chunks[0])
         document = document_lib.parse(json.loads(b"".join(chunks[1:])))
@@ -49,17 +49,17 @@
 async def fetch_newest(
     links: link_lib.Links, seeds: tuple[str, ...]
 ) -> holder_lib.Held | None:
-    """Asks several peers and returns the newest version any of them holds.
+    """Queries several peers and returns their newest version.
 
-    One peer alone may be cut off and old; taking its word would put a
-    version in force that was replaced long ago.
+    A single peer may be partitioned and outdated. Its answer alone could
+    activate a version that was replaced long ago.
 
     Args:
         links: The connections of this process.
         seeds: Addresses of target processes.
 
     Returns:
-        The newest version, or None if no peer answered with one.
+        The newest version, or None if no peer returned one.
     """
     found: list[holder_lib.Held] = []
 
@@ -81,12 +81,12 @@
     links: link_lib.Links,
     seeds: tuple[str, ...],
 ) -> None:
-    """Gets a first version from peers while the object API gives none.
+    """Fetches the first version from peers if the object API is down.
 
     Args:
-        configuration: Where it goes.
+        configuration: Configuration that receives the version.
         links: The connections of this process.
-        seeds: Addresses of target processes, maybe none.
+        seeds: Addresses of target processes; may be empty.
     """
     while seeds:
         if await configuration.wait_for(1, OBJECT_API_WAIT_MS):
--- a/packages/radishd/src/radishd/connection/writer.py
+++ b/packages/radishd/src/radishd/connection/writer.py
@@ -1,4 +1,4 @@
-"""Joining frames into few writes: one writer per connection."""
+"""Batches outgoing frames of one connection into few writes."""
 
 import anyio
 import anyio.abc
@@ -7,11 +7,11 @@
 
 
 class Writer:
-    """Collects frames and writes all that is pending in one call.
+    """Queues frames and writes all pending frames in one call.
 
-    While one write is under way further frames gather; a reader that is
-    behind gets them joined. What may gather is bounded by the windows of
-    the streams and, as a last resort, by ``MAX_PENDING_BYTES``.
+    Frames that are queued while a write is in progress are joined into the
+    next write. The queue is bounded by the windows of the streams and, as a
+    last resort, by ``MAX_PENDING_BYTES``.
     """
 
     def __init__(self, stream: anyio.abc.ByteStream) -> None:
@@ -30,19 +30,19 @@
         self._pending.append(data)
         self._pending_bytes += len(data)
         if self._pending_bytes > MAX_PENDING_BYTES:
-            # A peer that reads nothing at all would otherwise take all of
-            # the memory; it is cut off and can resume its runs.
+            # A peer that never reads would otherwise exhaust the memory. It
+            # is disconnected and can resume its runs.
             self.close()
             return
         self._wake.set()
 
     def close(self) -> None:
-        """Ends ``run`` once it next looks."""
+        """Makes ``run`` return once pending frames are written."""
         self.closed = True
         self._wake.set()
 
     async def run(self) -> None:
-        """Writes until closed; raises what the stream raises."""
+        """Writes until closed; propagates exceptions of the stream."""
         while True:
             if not self._pending:
                 if self.closed:
--- a/packages/radishd/src/radishd/platform/__init__.py
+++ b/packages/radishd/src/radishd/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translates between the product and the platform it runs on; decides nothing.
+"""Translates between radishstack's types and the platform's wire formats.
 
-The names that the platform uses on the wire appear in this folder only.
+It makes no decisions. The platform's wire names appear only in this package.
 """
--- a/packages/radishd/src/radishd/platform/engine.py
+++ b/packages/radishd/src/radishd/platform/engine.py
@@ -1,4 +1,4 @@
-"""Client of the engine on this process' own VM: its report, and orders."""
+"""Client for the engine on the same VM: reads reports, sends orders."""
 
 import dataclasses
 import enum
@@ -12,16 +12,16 @@
 from radishd.platform import front
 from radishd.platform import wire
 
-# The engine answers on its own VM within some milliseconds. An order that is
-# not answered by then may have been accepted, or may be later; the next report
-# tells, so nothing is gained by waiting longer, and all who wait for a load
-# would wait with it.
+# The engine answers within a few milliseconds, since it runs on the same VM. An
+# order that is not answered within its timeout may have been accepted or may be
+# accepted later. The next report shows which, so a longer timeout would only
+# delay all requests that wait for a load.
 REPORT_TIMEOUT_MS = 500
 ORDER_TIMEOUT_MS = 60
 CONNECT_TIMEOUT_MS = 300
 MS_PER_S = 1_000
-# One process on one VM gives this engine its orders, so its number never has
-# to rise; what must not happen is that it falls.
+# Only one process sends orders to this engine, so the token need not increase.
+# It must never decrease.
 FENCING_TOKEN = 1
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
@@ -30,7 +30,7 @@
 
 
 class Verdict(enum.Enum):
-    """How an order was answered."""
+    """Outcome of an order."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -41,28 +41,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderResult:
-    """The answer to an order, with what the engine said."""
+    """Outcome of an order, with the text of the engine's response."""
 
     verdict: Verdict
     detail: str
 
 
 class Engine:
-    """The engine beside this process."""
+    """Client for the engine on this VM."""
 
     def __init__(self, address: str, holder: str) -> None:
-        """Makes the client.
+        """Creates the client.
 
         Args:
             address: ``ip:port`` of the engine.
-            holder: Name under which orders are given.
+            holder: Name of this process in its orders.
         """
         self._address = address
         self._holder = holder
         self._pool = pool_lib.Pool(CONNECT_TIMEOUT_MS)
 
     async def report(self) -> result.Outcome[adapter_keeper.Report]:
-        """Reads the engine's report on itself."""
+        """Reads the engine's report on its state."""
         head = f"GET /-/report HTTP/1.1\r\nHost: {self._address}\r\n\r\n"
         answer = await self._call(head.encode(), REPORT_TIMEOUT_MS)
         if isinstance(answer, http_client.Lost):
@@ -80,15 +80,15 @@
     async def order(
         self, order: adapter_keeper.Order, instance: str
     ) -> OrderResult:
-        """Gives an order to one start of the engine.
+        """Sends an order to one incarnation of the engine.
 
         Args:
             order: The order.
-            instance: The start that it is meant for.
+            instance: The incarnation that the order is meant for.
 
         Returns:
-            How it was answered; without an answer it may be carried out now,
-            later, or never.
+            The outcome; an order without an answer may be executed now, later
+            or never.
         """
         body = wire.order(order, self._holder, FENCING_TOKEN)
         head = (
@@ -121,5 +121,5 @@
         return http_client.Lost(f"no answer in {timeout_ms} ms")
 
     def drop_connections(self) -> None:
-        """Trusts no kept connection, as after this process stood still."""
+        """Closes all idle connections, as after a process pause."""
         self._pool.drop_all()
--- a/packages/radishd/src/radishd/platform/front.py
+++ b/packages/radishd/src/radishd/platform/front.py
@@ -1,4 +1,4 @@
-"""Callers' requests and targets' answers: headers, decoded and encoded."""
+"""Decodes and encodes headers of requests and responses."""
 
 import dataclasses
 import enum
@@ -46,8 +46,8 @@
         b"expect",
     }
 )
-# Headers that this system sets for targets; a caller's own would let it take
-# over another request's memory, place, priority or account.
+# Headers that gateways set for targets. If a caller could set them, it could
+# take over another request's memory, slot, priority or account.
 _SYSTEM_HEADERS = frozenset(
     {
         _DEADLINE,
@@ -64,7 +64,7 @@
     }
 )
 _DROPPED = _HOP_BY_HOP | _SYSTEM_HEADERS
-# What a caller may not have dropped by naming it in its Connection header.
+# Headers that are forwarded even if the caller's Connection header lists them.
 _UNDROPPABLE = frozenset(
     {b"", _HOST, _ATTEMPT, _MODEL, _TOKEN_COUNT, b"x-prompt-prefix"}
 )
@@ -74,7 +74,7 @@
 HTTP_UNAUTHORIZED = 401
 HTTP_MISDIRECTED = 421
 HTTP_UNAVAILABLE = 503
-# Callers take these as a promise that the request did not run.
+# Callers rely on these as a guarantee that the request did not run.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 MS_PER_S = 1_000
 
@@ -84,19 +84,19 @@
     """A caller's request.
 
     Attributes:
-        attempt_id: The caller's name for this attempt.
+        attempt_id: The caller's id of this attempt.
         method: HTTP method.
         target: Path and query as sent.
         path: Path without the query.
         host: Host header.
-        left_ms: How long the caller waits, 0 if it did not say.
+        left_ms: Time until the caller's deadline, 0 if not stated.
         adapter: ``model/name``, or a base model, empty for a plain service.
-        last_event_id: Where a stream is to go on.
-        headers: What is passed on.
+        last_event_id: Event after which a stream resumes.
+        headers: Headers that are forwarded to the target.
         key_digest: Digest of the API key, ``client_account.NO_KEY`` if there
-            is no single well-formed one. The key itself goes no further.
-        token_count: Prompt tokens and most output tokens together, None if
-            not stated.
+            is no single well-formed one. The key itself is not forwarded.
+        token_count: Prompt tokens plus maximum output tokens, None if not
+            stated.
     """
 
     attempt_id: str
@@ -148,7 +148,7 @@
 
 
 def _key_digest(headers: list[tuple[bytes, bytes]]) -> bytes:
-    """Returns the digest of the API key, ``NO_KEY`` unless there is one."""
+    """Returns the digest of the API key, or ``NO_KEY``."""
     values = [value for name, value in headers if name == _AUTHORIZATION]
     if len(values) != 1:
         return client_account.NO_KEY
@@ -159,7 +159,7 @@
 
 
 def _token_count(value: bytes | None) -> int | None:
-    """Returns the tokens that a request may use, None if not stated."""
+    """Returns how many tokens a request may use, None if not stated."""
     counts = [part.strip() for part in (value or b"").split(b",")]
     if not all(one.isdigit() for one in counts):
         return None
@@ -182,11 +182,11 @@
     Args:
         request: The caller's request.
         body: Its whole body.
-        instance: The only start of the target that may run it.
-        left_ms: Time that is left of the caller's.
-        version: Version that the adapter must have there, 0 for any.
+        instance: The only incarnation of the target that may run it.
+        left_ms: Time until the caller's deadline.
+        version: Required version of the adapter, 0 for any.
         priority: Rank among the target's requests, None for its default.
-        resume_after: Last event that the caller has, if the stream goes on.
+        resume_after: Last event that the caller received, if a stream resumes.
         account: Name of the client account, empty for none.
     """
     lines = [
@@ -212,7 +212,7 @@
 
 
 class Kind(enum.Enum):
-    """What a target's answer is."""
+    """Kind of a target's response."""
 
     SUCCESS = "success"
     FAILURE = "failure"
@@ -225,12 +225,12 @@
 
 
 def classify(head: http_client.Head, attempt_id: str, instance: str) -> Kind:
-    """Says what an answer is, from its head.
+    """Classifies a response by its status and headers.
 
     Args:
         head: Status and headers.
         attempt_id: The attempt that was sent.
-        instance: The start of the target that it was meant for.
+        instance: The incarnation of the target that it was meant for.
     """
     answered = head.get(_ATTEMPT)
     if answered is not None and answered.decode("latin-1") != attempt_id:
@@ -250,19 +250,20 @@
         )
         return Kind.SUCCESS if whole else Kind.SPOILED
     if head.status in NOT_EXECUTED_STATUSES:
-        # Passed on, the caller would take it as proof that nothing ran.
+        # If forwarded, the caller would take it as proof that nothing ran.
         return Kind.UNPROVEN_PROMISE
     return Kind.FAILURE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetSignals:
-    """What an answer tells of its target, beside the request.
+    """State of a target that a response reports in its headers.
 
     Attributes:
-        leaving: Whether it leaves: it is about to end, whatever it runs.
-        backoff_ms: For how long it wants nothing from this VM, 0 if it did not
-            say.
+        leaving: Whether the target is draining. It will shut down soon, even
+            if requests are still running.
+        backoff_ms: How long the target asks this VM to send it nothing, 0 if
+            not stated.
     """
 
     leaving: bool = False
@@ -273,14 +274,14 @@
 
 
 def target_signals(head: http_client.Head, instance: str) -> TargetSignals:
-    """Decodes what an answer tells of the target that gave it.
+    """Decodes what a response reports about its target.
 
     Args:
         head: Status and headers.
-        instance: The start of the target that the request was meant for.
+        instance: The incarnation that the request was meant for.
     """
     if _is_other_instance(head, instance):
-        # Another start at that address speaks of itself.
+        # Another incarnation at that address reports its own state.
         return NO_SIGNALS
     return TargetSignals(is_leaving(head), _backoff_ms(head))
 
@@ -291,7 +292,7 @@
 
 
 def is_leaving(head: http_client.Head) -> bool:
-    """Whether an answer says that its target leaves."""
+    """Whether a response reports that its target is draining."""
     return (head.get(_LEAVING) or b"").strip() == b"1"
 
 
@@ -301,7 +302,7 @@
     try:
         retry_after_s = float(head.get(_RETRY_AFTER) or b"0")
     except ValueError:
-        # A date, which targets do not send, or garbage.
+        # The value is a date, which targets do not send, or invalid.
         return 0
     if not math.isfinite(retry_after_s):
         return 0
@@ -309,16 +310,16 @@
 
 
 def rate_limit_per_s(head: http_client.Head, instance: str) -> float | None:
-    """Parses the rate limit that a target advertises in an answer.
+    """Parses the rate limit that a target advertises in a response.
 
     Args:
         head: Status and headers.
-        instance: The start of the target that the request was meant for.
+        instance: The incarnation that the request was meant for.
 
     Returns:
         Requests per second that the target accepts from all gateways
         together, ``UNLIMITED_PER_S`` if the header is absent, None if the
-        answer is from another instance or the value is invalid.
+        response is from another incarnation or the value is invalid.
     """
     if _is_other_instance(head, instance):
         return None
@@ -335,18 +336,18 @@
 
 
 def response_headers(head: http_client.Head) -> list[tuple[bytes, bytes]]:
-    """Returns the headers of a target's answer that the caller gets."""
+    """Returns the headers of a response that the caller receives."""
     return [pair for pair in head.headers if pair[0] not in _RESPONSE_DROPPED]
 
 
 def failure(
     reason: result.Failure, attempt_id: str
 ) -> tuple[int, list[tuple[bytes, bytes]], bytes]:
-    """Encodes a failure of ours for a caller.
+    """Encodes a failure of the gateway for a caller.
 
     Args:
         reason: The failure.
-        attempt_id: The caller's name for the attempt.
+        attempt_id: The caller's id of the attempt.
 
     Returns:
         Status, headers and body.
--- a/packages/radishd/src/radishd/platform/store.py
+++ b/packages/radishd/src/radishd/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store of objects."""
+"""Client for the platform's object store."""
 
 from collections.abc import Callable
 import dataclasses
@@ -24,15 +24,16 @@
 _ERA_HEADER = b"store-era"
 CALL_TIMEOUT_MS = 1_500
 CONNECT_TIMEOUT_MS = 500
-# A watch that is answered this long after its wait has ended tells of a store
-# that stood still, though no call failed; answers take a few milliseconds.
+# An answer that arrives this long after the wait time of a watch indicates
+# that the store was paused, although no call failed. Answers usually arrive
+# within a few milliseconds.
 LATE_ANSWER_MARGIN_MS = 400
 MS_PER_S = 1_000
 MAX_PAGES = 1_000
 
 
 class Store:
-    """Reads and writes objects; every call is counted, as each is paid for.
+    """Reads and writes objects; counts every call, since each is billed.
 
     Attributes:
         on_outage_ended: Called with the requested kind when a store outage
@@ -43,11 +44,11 @@
     """
 
     def __init__(self, address: str, metrics: metrics_lib.Metrics) -> None:
-        """Makes the client; nothing is connected yet.
+        """Creates the client without connecting.
 
         Args:
             address: ``ip:port`` of the store.
-            metrics: Where calls are counted.
+            metrics: Metrics that count the calls.
         """
         self._address = address
         self._pool = pool_lib.Pool(CONNECT_TIMEOUT_MS)
@@ -66,7 +67,7 @@
 
         Args:
             kind: Kind of object.
-            stale: Whether what is seconds old will do; it costs less.
+            stale: Whether data that is seconds old suffices; it costs less.
         """
         records: list[stored.Record] = []
         nameless_count = 0
@@ -109,11 +110,11 @@
 
         Args:
             kind: Kind of object.
-            revision: Changes after this one.
-            wait_ms: How long the store holds the call at most.
+            revision: Returns changes after this revision.
+            wait_ms: Maximum time that the store holds the call.
 
         Returns:
-            The changes, which may be none, or that their history is gone.
+            The changes, possibly none, or that their history has expired.
         """
         query = f"?watch={revision}&waitMs={wait_ms}"
         body = await self._get(
@@ -134,10 +135,10 @@
     async def create(
         self, kind: str, name: str, spec: dict[str, Any]
     ) -> result.Failure | None:
-        """Creates an object, unless there is one of that name.
+        """Creates an object unless one of that name exists.
 
-        An answer may be lost after the object was created; asked again, the
-        store says that it exists, which is as good.
+        The answer may be lost after the object was created. A repeated call
+        reports that the object exists, which also counts as success.
 
         Args:
             kind: Kind of object.
@@ -145,7 +146,7 @@
             spec: Its content.
 
         Returns:
-            Why it may not be there, None if it is.
+            Why the object may not exist, None if it exists.
         """
         body = json.dumps({"metadata": {"name": name}, "spec": spec})
         return await self._change(
@@ -153,7 +154,7 @@
         )
 
     async def delete(self, kind: str, name: str) -> result.Failure | None:
-        """Removes an object; returns why it may still be there, if it may."""
+        """Removes an object; returns why it may still exist, or None."""
         return await self._change(
             "DELETE", kind, f"{kind}/{name}", settled=HTTP_NOT_FOUND
         )
@@ -167,14 +168,14 @@
         *,
         settled: int,
     ) -> result.Failure | None:
-        """Makes a call that changes an object.
+        """Sends a request that changes an object.
 
         Args:
             method: HTTP method.
             kind: Kind of object.
-            path: Path below the objects.
+            path: Path below ``/-/objects/``.
             body: JSON, if any.
-            settled: Status that says that nothing is left to be done.
+            settled: Status that reports the change as already made.
         """
         answer: result.Outcome[http_client.Answer] = result.Failure(
             result.STORE_UNAVAILABLE, f"no answer in {CALL_TIMEOUT_MS} ms"
@@ -261,7 +262,7 @@
             return result.Failure(result.STORE_UNAVAILABLE, answer.reason)
         era = _era(answer.head) or self.era
         if era < self.era:
-            # Delayed answer from before the store was restored.
+            # The answer was delayed from before the store was restored.
             return result.Failure(
                 result.STORE_UNAVAILABLE,
                 f"answer has era {era}, latest is {self.era}",
@@ -273,7 +274,7 @@
         return answer
 
     def drop_connections(self) -> None:
-        """Trusts no kept connection, as after this process stood still."""
+        """Closes all idle connections, as after a process pause."""
         self._pool.drop_all()
 
 
@@ -283,7 +284,7 @@
 
 
 def _fields(data: bytes) -> result.Outcome[dict[str, Any]]:
-    """Decodes an answer; bytes that are no text spoil only their own field."""
+    """Decodes an answer; invalid UTF-8 affects only its own field."""
     try:
         body = json.loads(data.decode("utf-8", "replace"), strict=False)
     except (ValueError, RecursionError) as error:
@@ -294,7 +295,7 @@
 
 
 def _record(raw: Any, era: int) -> stored.Record | None:
-    """Decodes an object, None if it bears no name or revision of the store."""
+    """Decodes an object; returns None without a valid name or revision."""
     try:
         metadata = raw["metadata"]
         name = metadata["name"]
--- a/packages/radishd/src/radishd/platform/wire.py
+++ b/packages/radishd/src/radishd/platform/wire.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's objects once, into the product's types."""
+"""Decodes the platform's objects into radishstack's types."""
 
 from collections.abc import Mapping
 import json
@@ -17,11 +17,11 @@
 from radishd.process import checked
 from radishd.process import logs
 
-# The kinds of objects that the platform keeps.
+# Kinds of objects in the platform's store.
 KIND_CONFIGURATION = "config"
 KIND_TARGETS = "servers"
 KIND_VERSIONS = "versions"
-# The one object of the configuration.
+# Name of the only object of the configuration kind.
 CONFIGURATION_NAME = "main"
 
 _IDEMPOTENT = "idempotent"
@@ -29,9 +29,9 @@
 _STREAMING = "streaming"
 _DRAINING = "draining"
 _MIN_ATTEMPTS = 1
-# Bad entries of one configuration that a line of the log names.
+# Maximum number of invalid entries listed in a log line.
 _MAX_LOGGED = 8
-# The operator writes keys; digests of them are what this system keeps.
+# The operator writes API keys; radishstack keeps only their digests.
 _ACCOUNTS = "tenants"
 _KEYS = "apiKeys"
 _KEY_DIGESTS = "keyDigests"
@@ -62,9 +62,9 @@
     state: Literal["ready", "draining"]
     coldRemainingMs: _Time  # noqa: N815
     sequence: _Count
-    # Told only by a target that leaves at short notice.
+    # Set only by a target that shuts down at short notice.
     remainingMs: _Time | None = None  # noqa: N815
-    # Unix milliseconds by the target's own clock.
+    # Start time in Unix milliseconds by the target's own clock.
     born: _StartTimeMs = 0
     models: list[_Model] = []
 
@@ -73,12 +73,12 @@
     name: _Text
     keyDigests: list[Annotated[str, pydantic.Field(pattern=r"^[0-9a-f]{64}$")]]  # noqa: N815
     priority: _Count | None = None
-    # Per second and on top of it, in units; a rate of 0 is no cap.
+    # Rate per second and burst, in units; a rate of 0 means no cap.
     ratePerS: _Time = 0.0  # noqa: N815
     burst: _Time = 0.0
-    # Without a unit, requests are counted.
+    # The cap counts requests if no unit is set.
     unit: Literal["token"] | None = None
-    # Tokens of a request that states none.
+    # Assumed token count of a request that states none.
     plainTokens: _Time = 1.0  # noqa: N815
 
 
@@ -98,7 +98,7 @@
         spec: The object's content.
 
     Returns:
-        The route table, or what could not be read.
+        The route table, or what could not be decoded.
     """
     try:
         routes = [_route(raw) for raw in spec.get("routes") or ()]
@@ -128,8 +128,9 @@
         )
     else:
         split = (route_table.Share(raw["service"], 1.0),)
-    # Despite its general name, `type` says what may be repeated; a streaming
-    # route's answers may be only where it is marked resumable.
+    # Despite its general name, `type` states which requests may be repeated.
+    # Responses of a streaming route may be repeated only if the route is marked
+    # resumable.
     kind = raw["type"]
     if kind not in (_IDEMPOTENT, _NON_IDEMPOTENT, _STREAMING):
         logs.warn("route_kind_unknown", route=raw["name"], kind=kind)
@@ -147,10 +148,10 @@
         objective_ms=int(raw.get("targetLatencyMs", raw["timeoutMs"])),
         gap_objective_ms=int(raw.get("gapTargetMs") or 0),
         priority=int(raw.get("priority") or 0),
-        # Counts targets, not sends.
+        # The limit counts targets, not sends.
         max_targets=max(_MIN_ATTEMPTS, int(raw.get("maxAttempts") or 1)),
         shares=split,
-        # Missing means that a key is needed: nobody gets in by a mistake.
+        # Routes require a key by default, so an omission admits nobody.
         public=raw.get("public") is True,
     )
 
@@ -158,15 +159,15 @@
 def without_secrets(spec: Any, *, from_peer: bool = False) -> Any:
     """Replaces the API keys of a configuration by their digests.
 
-    Keys are secrets: only the bytes of the store's answer hold them.
+    Keys are secrets and exist only in the bytes of the store's answer.
 
     Args:
         spec: The content of any object.
-        from_peer: Whether another gateway sent it; only then are digests
-            believed that it brings itself.
+        from_peer: Whether another gateway sent the content; only then are the
+            digests in it trusted.
 
     Returns:
-        The content, or a changed copy.
+        The content, or a copy without keys.
     """
     accounts = spec.get(_ACCOUNTS) if isinstance(spec, dict) else None
     if not isinstance(accounts, list):
@@ -197,7 +198,7 @@
 
 
 def _key_bytes(key: str) -> bytes:
-    # JSON may hold half a character, which UTF-8 cannot.
+    # JSON may hold a lone surrogate, which UTF-8 cannot encode.
     return key.encode("utf-8", "surrogatepass")
 
 
@@ -259,7 +260,7 @@
 
 
 def _adapter_limit(engine: Fields) -> int:
-    """Returns how many adapters fit beside the largest base model."""
+    """Returns how many adapters fit next to the largest base model."""
     slots = int(engine.get("adapterSlots") or 0)
     models = engine.get("models") or ()
     adapter_mb = max(
@@ -280,12 +281,12 @@
     Args:
         name: The object's name, which is the target's instance.
         spec: The object's content.
-        created: Revision at which it was entered.
+        created: Revision at which it was created.
         revision: Revision at which it last changed.
         era: Store era of the revisions.
 
     Returns:
-        The target, or what could not be read.
+        The target, or what could not be decoded.
     """
     try:
         entry = _Target.model_validate(spec)
@@ -308,7 +309,7 @@
 
 
 def _born_ms(raw: Fields) -> int:
-    """Returns when this start of a target began by its own clock, or 0."""
+    """Returns the start time of a target by its own clock, or 0."""
     return _START_TIME_VALIDATOR.validate_python(
         raw.get("born", 0), strict=True
     )
@@ -329,7 +330,7 @@
     """Decodes the announcement of a new version.
 
     Returns:
-        The adapter, or the base model where none is named, and its version.
+        The adapter, or the base model if no adapter is named, and its version.
     """
     try:
         entry = _Version.model_validate(spec)
@@ -340,7 +341,7 @@
 
 
 def report(body: bytes) -> result.Outcome[adapter_keeper.Report]:
-    """Decodes an engine's report on itself."""
+    """Decodes an engine's report on its state."""
     try:
         raw = json.loads(body)
         in_transit = {}
@@ -360,13 +361,15 @@
         return result.Failure(result.STORE_CORRUPT, f"report: {error!r}")
 
 
-def order(order_: adapter_keeper.Order, holder: str, fence: int) -> bytes:
+def order(
+    order_: adapter_keeper.Order, holder: str, fencing_token: int
+) -> bytes:
     """Encodes an order to an engine.
 
     Args:
         order_: The order.
-        holder: Name of the process that gives it.
-        fence: Its fencing number.
+        holder: Name of the process that sends the order.
+        fencing_token: Fencing token of that process.
     """
     base, _, adapter = order_.adapter.partition("/")
     loads = order_.operation is adapter_keeper.Operation.LOAD
@@ -375,7 +378,7 @@
         "model": base,
         "expect": order_.accepted_count,
         "holder": holder,
-        "fencingToken": fence,
+        "fencingToken": fencing_token,
     }
     if adapter:
         body["adapter"] = adapter
--- a/tests/fleet/test_accounts.py
+++ b/tests/fleet/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: whose keys admit a request, and what targets see."""
+"""Client accounts: admission by API key, and headers sent to targets."""
 
 import json
 import logging
@@ -60,7 +60,7 @@
 
 
 def test_targets_get_the_account_name_and_no_key() -> None:
-    """Guards against keys at targets, and accounts that callers name."""
+    """Guards against keys sent to targets and accounts set by callers."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=1) as fleet:
@@ -80,7 +80,7 @@
 
 
 def test_only_one_well_formed_key_counts() -> None:
-    """Guards against admission by a doubled, folded or half a header."""
+    """Guards against admission by a repeated, folded or partial header."""
     digest = client_account.digest_of(KEY.encode())
     name = b"authorization"
     for value in (BEARER, f"bearer  {KEY}", f" BEARER {KEY} "):
@@ -94,7 +94,7 @@
 
 
 def test_without_a_known_key_a_request_is_rejected_unread() -> None:
-    """Guards against a large body that is read before the rejection."""
+    """Guards against reading a large body before the rejection."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -123,7 +123,7 @@
 
 
 def test_a_trailer_is_no_header() -> None:
-    """Guards against credentials that are smuggled in behind a body."""
+    """Guards against credentials smuggled in a trailer after the body."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -171,7 +171,7 @@
 
 
 def test_removed_and_added_keys_are_in_force() -> None:
-    """Guards against a removed key that admits, or a new one that does not."""
+    """Guards against admission by a removed key or rejection of a new one."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -220,7 +220,7 @@
 def test_a_key_that_moves_to_another_account_is_not_sent_for_the_first() -> (
     None
 ):
-    """Guards against a waiting request that runs as its key's old account."""
+    """Guards against a waiting request sent for the key's former account."""
     table = wire.configuration(wire.without_secrets(_configuration()))
     head = admission.Head(
         "shop.example", "/chat/x", client_account.digest_of(KEY.encode())
@@ -238,14 +238,14 @@
 
 
 def test_no_configuration_admits_nobody() -> None:
-    """Guards against a started process that serves before it knows keys."""
+    """Guards against a new process that serves before it has the keys."""
     head = admission.Head("shop.example", "/chat/x", client_account.NO_KEY)
     failure = admission.admit(route_table.EMPTY, head, retry_after_ms=300)
     assert failure.code is result.NOT_READY and failure.retry_after_ms == 300
 
 
 def test_bad_accounts_admit_nobody_and_hide_nothing() -> None:
-    """Guards against one bad entry that locks all out, or lets one in."""
+    """Guards against an invalid entry that rejects or admits other keys."""
     accounts = [
         platform_site.account("crew", KEY, "", "\ud800"),
         platform_site.account("twice", "shared", "own"),
@@ -281,7 +281,7 @@
 
 
 def test_an_account_ranks_before_its_route() -> None:
-    """Guards against an urgent account whose requests wait with the others."""
+    """Guards against ignoring the priority of an account."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=0) as fleet:
@@ -301,7 +301,7 @@
 
 
 def test_fingerprints_differ_between_accounts() -> None:
-    """Guards against a quarantine of one account's request for another's."""
+    """Guards against a quarantine that spreads to another account."""
     request = ("POST", "shop.example", b"/chat/x", b"body")
     crew = fingerprint.of_request(*request, "crew")
     assert crew != fingerprint.of_request(*request, "lab")
@@ -309,7 +309,7 @@
 
 
 def test_keys_never_leak() -> None:
-    """Guards against keys in reports, metrics, logs, peers and commands."""
+    """Guards against keys in status, metrics, logs, peers and commands."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
@@ -353,7 +353,7 @@
 
 
 def test_a_gateway_that_starts_in_an_outage_admits_by_its_peers() -> None:
-    """Guards against keys that a started gateway cannot learn."""
+    """Guards against a new gateway that gets no keys during an outage."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
--- a/tests/fleet/test_http_client.py
+++ b/tests/fleet/test_http_client.py
@@ -31,11 +31,11 @@
 
 
 def test_a_request_that_is_cut_off_is_reset() -> None:
-    """Symptom: a target runs a request seconds after its caller left.
+    """Guards against a run that starts after its caller disconnected.
 
-    Sequence: the target's VM stands still with the request in its buffers;
-    the caller leaves; the VM goes on. Cause: a plain close lets the bytes
-    arrive.
+    The target's VM is paused with the request in its buffers, the caller
+    disconnects, and the VM resumes seconds later. With a plain close the bytes
+    would still arrive.
     """
 
     async def play() -> None:
@@ -50,7 +50,7 @@
         except ConnectionResetError:
             pass
         else:
-            raise AssertionError("it was closed in order")
+            raise AssertionError("connection was closed without a reset")
         finally:
             peer.close()
             listener.close()
@@ -59,7 +59,7 @@
 
 
 def test_bytes_on_an_idle_connection_close_it() -> None:
-    """A late second answer would be taken for the next request's."""
+    """A late second response would be returned to the next request."""
 
     async def play() -> None:
         listener, address = _listen()
@@ -86,10 +86,10 @@
 
 
 def test_a_reset_answer_without_length_is_not_whole() -> None:
-    """Symptom: half a page is shown as the whole one.
+    """Guards against a truncated response that counts as complete.
 
-    Sequence: the target dies while it sends an answer that ends with its
-    connection. Cause: a reset was taken for the end.
+    The target crashes while it sends a response that is delimited by the end
+    of its connection. The reset was treated as that end.
     """
 
     async def play(reset: bool) -> http_client.Answer | http_client.Lost:
@@ -118,7 +118,7 @@
 
 
 def test_an_answer_before_the_body_was_read_is_accepted() -> None:
-    """A target may refuse a large request as soon as it sees its head."""
+    """A target may reject a large request once it has read the headers."""
 
     async def play() -> None:
         listener, address = _listen()
--- a/tests/operators/test_explain.py
+++ b/tests/operators/test_explain.py
@@ -1,4 +1,4 @@
-"""``radishctl explain``: one request's story from several logs."""
+"""``radishctl explain``: decisions on one request from several logs."""
 
 import json
 
@@ -12,7 +12,7 @@
 
 
 def test_explain_shows_only_related_decisions() -> None:
-    """The wish, the order and the refusal, in order, from both processes."""
+    """Shows load request, order and outcome of both processes in order."""
     lines = [
         _line(9_000, "side-1", "order", adapter="m/a1", verdict="accepted"),
         _line(8_500, "edge-1", "load_wanted", adapter="m/a1", target="i1"),
@@ -44,6 +44,6 @@
 
 
 def test_an_unknown_request_id_is_an_error() -> None:
-    """With an exit code of its own, so that a script notices."""
+    """The exit code is not 0, so that scripts detect the failure."""
     run = testing.CliRunner().invoke(cli.main, ["explain", "r9"], input="")
     assert run.exit_code != 0
--- a/tests/operators/test_fleet.py
+++ b/tests/operators/test_fleet.py
@@ -1,4 +1,4 @@
-"""``radishctl fleet`` before a running fleet on loopback."""
+"""``radishctl fleet`` against a running fleet on loopback."""
 
 import json
 
@@ -37,7 +37,7 @@
 
 
 def test_a_change_is_described_by_name_field_and_both_values() -> None:
-    """An operator sees at once that a timeout was lowered, and to what."""
+    """Operators see that a timeout was lowered, and its new value."""
     before = _table(1, _route(), _route(name="old"))
     after = _table(2, _route(timeout_ms=300), _route(name="new"))
     assert table_changes.describe(before, after) == (
@@ -48,7 +48,7 @@
 
 
 def test_added_and_removed_keys_are_counted_by_account() -> None:
-    """Guards against a change of keys that operators see nothing of."""
+    """Guards against changes of keys that operators cannot see."""
     crew = client_account.ClientAccount("crew")
 
     def table(version: int, *keys: bytes) -> route_table.RouteTable:
@@ -63,10 +63,10 @@
 
 
 def test_the_stored_changes_of_a_version_are_bounded() -> None:
-    """Symptom: gateways grow by megabytes when routes are added in bulk.
+    """Guards against memory growth by megabytes when routes are bulk-added.
 
-    Sequence: one version adds two thousand routes. Cause: a line was kept of
-    each, for the last thirty-two versions.
+    One version adds two thousand routes. Gateways kept a line for each of them
+    for the last thirty-two versions.
     """
     routes = [_route(name=f"r{number}") for number in range(2_000)]
     changes = table_changes.describe(_table(1), _table(2, *routes))
@@ -97,10 +97,10 @@
                 lambda: fleet.gateway.table.version == changed["version"],
                 "the change is in force",
             )
-            changes = await _radishctl(fleet, "fleet", "history", admin)
-            assert changes.exit_code == 0, changes.output
+            history = await _radishctl(fleet, "fleet", "history", admin)
+            assert history.exit_code == 0, history.output
             name = changed["routes"][0]["name"]
-            assert f"route {name}: timeout_ms" in changes.output
+            assert f"route {name}: timeout_ms" in history.output
             shown = await _radishctl(fleet, "fleet", "config")
             assert f"version: {changed['version']}" in shown.output
             status = await _radishctl(
@@ -118,7 +118,7 @@
 
 
 def test_a_store_that_does_not_answer_has_its_own_exit_code() -> None:
-    """Scripts tell an outage from a wrong call."""
+    """Scripts can distinguish a store outage from a usage error."""
     run = testing.CliRunner().invoke(
         cli.main, ["--platform", "http://127.0.0.1:1", "fleet", "config"]
     )
@@ -126,10 +126,11 @@
 
 
 def test_one_bad_entry_hides_no_target_from_operators() -> None:
-    """``fleet status`` and ``fleet config`` end with an error.
+    """Guards against an invalid object that fails ``fleet`` commands.
 
-    Another writer has entered an object that cannot be read. The first such
-    entry ended the command, just when an operator looks for who wrote it.
+    Another writer stores an object that cannot be decoded. ``fleet status``
+    and ``fleet config`` failed at the first one, so that an operator could not
+    find out who wrote it.
     """
 
     async def play() -> None:
