--- a/packages/radishctl/src/radishctl/explain.py
+++ b/packages/radishctl/src/radishctl/explain.py
@@ -1,15 +1,15 @@
-"""The story of one request, from the decision logs of several processes."""
+"""Collects the decisions on one request from several decision logs."""
 
 from collections.abc import Iterable
 import dataclasses
 import json
 from typing import Any
 
-# Clocks of VMs differ, and a load that a request waited for may have been
-# ordered for another just before; both lie within this.
+# Covers clock differences between VMs, and a load that was ordered for another
+# request shortly before this request began to wait for it.
 MARGIN_MS = 3_000
-# Fields that every line has, or that the heading of the story shows.
-_SHOWN_APART = ("at_ms", "event", "vm")
+# Fields that are rendered as columns before the other fields.
+_HEADING_FIELDS = ("at_ms", "event", "vm")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -17,10 +17,10 @@
     """One line of a decision log.
 
     Attributes:
-        at_ms: Time of day on its VM.
-        vm: Its VM.
-        event: What was decided.
-        fields: The inputs and the outcome.
+        at_ms: Wall-clock time of the VM.
+        vm: The VM that logged the line.
+        event: The log event.
+        fields: Inputs and outcome of the decision.
     """
 
     at_ms: int
@@ -30,11 +30,11 @@
 
 
 def read_lines(texts: Iterable[str]) -> list[Line]:
-    """Reads decision lines and passes over all others.
+    """Parses decision lines and skips all others.
 
     Args:
-        texts: Lines of logs; a collector may have put words of its own
-            before the JSON.
+        texts: Log lines; a log collector may have added a prefix before the
+            JSON.
 
     Returns:
         The decisions.
@@ -50,22 +50,22 @@
             continue
         if not isinstance(raw, dict) or "event" not in raw:
             continue
-        fields = {k: v for k, v in raw.items() if k not in _SHOWN_APART}
+        fields = {k: v for k, v in raw.items() if k not in _HEADING_FIELDS}
         at_ms = int(raw.get("at_ms", 0))
         lines.append(Line(at_ms, raw.get("vm", ""), raw["event"], fields))
     return lines
 
 
-def story(lines: list[Line], request_id: str) -> list[Line]:
-    """Picks what touches one request, in the order in which it happened.
+def request_lines(lines: list[Line], request_id: str) -> list[Line]:
+    """Returns the lines related to one request, ordered by time.
 
     Args:
         lines: Decisions of all processes.
         request_id: The request.
 
     Returns:
-        Its own line, and, from shortly before it came to its end, what was
-        decided on its adapter and what was learned of its targets.
+        The lines of the request itself, and those on its adapter and its
+        targets from shortly before it began until shortly after it ended.
     """
     own = [one for one in lines if one.fields.get("request") == request_id]
     if not own:
@@ -83,12 +83,12 @@
         for one in lines
         if ends_ms - took_ms - MARGIN_MS <= one.at_ms <= ends_ms + MARGIN_MS
         and one.event != "request"
-        and _touches(one, adapters, targets)
+        and _is_related(one, adapters, targets)
     ]
     return sorted(own + picked, key=lambda one: one.at_ms)
 
 
-def _touches(line: Line, adapters: set[str], targets: set[str]) -> bool:
+def _is_related(line: Line, adapters: set[str], targets: set[str]) -> bool:
     fields = line.fields
     if "adapter" in fields:
         return fields["adapter"] in adapters
@@ -104,7 +104,7 @@
 
 
 def render(lines: list[Line], request_id: str) -> list[str]:
-    """Renders a story, with times from the request's own line."""
+    """Renders lines with times relative to the request's own line."""
     own = next(one for one in lines if one.fields.get("request") == request_id)
     rendered = []
     for line in lines:
--- a/packages/radishd/src/radishd/platform/engine.py
+++ b/packages/radishd/src/radishd/platform/engine.py
@@ -1,4 +1,4 @@
-"""Client of the engine on this process' own VM: its report, and orders."""
+"""Client for the engine on the same VM: reads reports, sends orders."""
 
 import dataclasses
 import enum
@@ -12,17 +12,17 @@
 from radishd.platform import front
 from radishd.platform import wire
 
-# The engine answers on its own VM within some milliseconds. An order that is
-# not answered by then may have been accepted, or may be later; the next report
-# tells, so nothing is gained by waiting longer, and all who wait for a load
-# would wait with it.
+# The engine answers within a few milliseconds, since it runs on the same VM. An
+# order that is not answered within its timeout may have been accepted or may be
+# accepted later. The next report shows which, so a longer timeout would only
+# delay all requests that wait for a load.
 REPORT_TIMEOUT_MS = 500
 ORDER_TIMEOUT_MS = 60
 CONNECT_TIMEOUT_MS = 300
 MS_PER_S = 1_000
-# One process on one VM gives this engine its orders, so its number never has
-# to rise; what must not happen is that it falls.
-FENCE = 1
+# Only one process sends orders to this engine, so the token need not increase.
+# It must never decrease.
+FENCING_TOKEN = 1
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
 HTTP_CONFLICT = 409
@@ -30,7 +30,7 @@
 
 
 class Verdict(enum.Enum):
-    """How an order was answered."""
+    """Outcome of an order."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -40,29 +40,29 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ordered:
-    """The answer to an order, with what the engine said."""
+class OrderResult:
+    """Outcome of an order, with the text of the engine's response."""
 
     verdict: Verdict
     detail: str
 
 
 class Engine:
-    """The engine beside this process."""
+    """Client for the engine on this VM."""
 
     def __init__(self, address: str, holder: str) -> None:
-        """Makes the client.
+        """Creates the client.
 
         Args:
             address: ``ip:port`` of the engine.
-            holder: Name under which orders are given.
+            holder: Name of this process in its orders.
         """
         self._address = address
         self._holder = holder
         self._pool = pool_lib.Pool(CONNECT_TIMEOUT_MS)
 
     async def report(self) -> result.Outcome[adapter_keeper.Report]:
-        """Reads the engine's report on itself."""
+        """Reads the engine's report on its state."""
         head = f"GET /-/report HTTP/1.1\r\nHost: {self._address}\r\n\r\n"
         answer = await self._call(head.encode(), REPORT_TIMEOUT_MS)
         if isinstance(answer, http_client.Lost):
@@ -79,18 +79,18 @@
 
     async def order(
         self, order: adapter_keeper.Order, instance: str
-    ) -> Ordered:
-        """Gives an order to one start of the engine.
+    ) -> OrderResult:
+        """Sends an order to one incarnation of the engine.
 
         Args:
             order: The order.
-            instance: The start that it is meant for.
+            instance: The incarnation that the order is meant for.
 
         Returns:
-            How it was answered; without an answer it may be carried out now,
-            later, or never.
+            The outcome; an order without an answer may be executed now, later
+            or never.
         """
-        body = wire.order(order, self._holder, FENCE)
+        body = wire.order(order, self._holder, FENCING_TOKEN)
         head = (
             f"POST /-/order HTTP/1.1\r\nHost: {self._address}\r\n"
             f"Content-Type: application/json\r\n"
@@ -99,21 +99,21 @@
         )
         answer = await self._call(head.encode() + body, ORDER_TIMEOUT_MS)
         if isinstance(answer, http_client.Lost):
-            return Ordered(Verdict.UNANSWERED, answer.reason)
+            return OrderResult(Verdict.UNANSWERED, answer.reason)
         detail = answer.body[:200].decode("utf-8", "replace")
         status = answer.head.status
         if status in (HTTP_OK, HTTP_ACCEPTED):
-            return Ordered(Verdict.ACCEPTED, detail)
+            return OrderResult(Verdict.ACCEPTED, detail)
         if status == HTTP_CONFLICT:
-            return Ordered(Verdict.CONFLICT, detail)
+            return OrderResult(Verdict.CONFLICT, detail)
         if status == HTTP_MISDIRECTED:
-            return Ordered(Verdict.OTHER_INSTANCE, detail)
-        return Ordered(Verdict.REFUSED, f"{status} {detail}")
+            return OrderResult(Verdict.OTHER_INSTANCE, detail)
+        return OrderResult(Verdict.REFUSED, f"{status} {detail}")
 
     async def _call(
         self, data: bytes, timeout_ms: int
     ) -> http_client.Answer | http_client.Lost:
-        connection = await self._pool.take(self._address, fresh=True)
+        connection = await self._pool.acquire(self._address, fresh=True)
         if isinstance(connection, http_client.Lost):
             return connection
         with anyio.move_on_after(timeout_ms / MS_PER_S):
@@ -121,5 +121,5 @@
         return http_client.Lost(f"no answer in {timeout_ms} ms")
 
     def drop_connections(self) -> None:
-        """Trusts no kept connection, as after this process stood still."""
+        """Closes all idle connections, as after a process pause."""
         self._pool.drop_all()
