--- a/bench/control.py
+++ b/bench/control.py
@@ -230,7 +230,7 @@
         )
         configuration = entry.configuration
         document = make_document(peers, adapters)
-        configuration.offer(holder_lib.Held(1, "w1", document))
+        configuration.offer(holder_lib.HeldVersion(1, "w1", document))
         tasks.start_soon(control.run)
         tasks.start_soon(entry.configuration_gossip.run)
         tasks.start_soon(entry.forget)
@@ -270,7 +270,7 @@
             )
         )
         document = make_document(peers, adapters)
-        process.configuration.offer(holder_lib.Held(1, "w1", document))
+        process.configuration.offer(holder_lib.HeldVersion(1, "w1", document))
         tasks.start_soon(_change, process.configuration)
         await anyio.sleep(1.0)
         meter = Meter(process.configuration_gossip.control, process.metrics)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -248,7 +248,7 @@
         *,
         prepare: Callable[["Run"], None] | None = None,
         routing_settings: routing.RoutingSettings | None = None,
-        held: holder_lib.Held | None = None,
+        held: holder_lib.HeldVersion | None = None,
     ) -> dict[str, Any]:
         """Runs the arrivals through the policy.
 
@@ -273,11 +273,13 @@
     def _make_policy(
         self,
         routing_settings: routing.RoutingSettings | None,
-        held: holder_lib.Held | None,
+        held: holder_lib.HeldVersion | None,
     ) -> Callable[[model.Arrival], None]:
         if self.policy in BASELINES:
             return self._make_baseline()
-        held = held or holder_lib.Held(1, "w", document_of(self.workload))
+        held = held or holder_lib.HeldVersion(
+            1, "w", document_of(self.workload)
+        )
         self.site = shipped.Shipped(
             self.clock,
             self.weights,
@@ -390,7 +392,7 @@
     arrivals = model.make_arrivals(
         workload.streams, duration_ms=workload.duration_ms, seed=seed
     )
-    held = holder_lib.Held(1, "w", document_of(workload))
+    held = holder_lib.HeldVersion(1, "w", document_of(workload))
     return [
         Run(workload, policy, seed).execute(arrivals, held=held)
         for policy in POLICIES
--- a/bench/shipped.py
+++ b/bench/shipped.py
@@ -165,7 +165,7 @@
         self,
         clock: model.Clock,
         weights: model.WeightStore,
-        held: holder_lib.Held,
+        held: holder_lib.HeldVersion,
         engines: dict[str, model.Engine],
         *,
         entries: int,
--- a/packages/radishctl/src/radishctl/cli.py
+++ b/packages/radishctl/src/radishctl/cli.py
@@ -109,7 +109,7 @@
 
 def _describe(operation: operation_lib.Operation) -> tuple[str, str, str]:
     paths = [
-        ".".join(part for part in key if part != operation_lib.WHOLE)
+        ".".join(part for part in key if part != operation_lib.WHOLE_ENTITY)
         for key in operation_lib.writes(operation)
     ]
     value = getattr(operation, "value", getattr(operation, "source", ""))
--- a/packages/radishctl/src/radishctl/session.py
+++ b/packages/radishctl/src/radishctl/session.py
@@ -62,7 +62,7 @@
             fail(outcome)
         return outcome
 
-    def held(self) -> holder_lib.Held:
+    def held(self) -> holder_lib.HeldVersion:
         """Reads the version in force."""
         return self.call(configuration.read_now)
 
@@ -70,7 +70,7 @@
         self,
         operations: tuple[operation_lib.Operation, ...],
         *,
-        base: holder_lib.Held,
+        base: holder_lib.HeldVersion,
         reason: str,
     ) -> None:
         """Gets a change accepted and says in which version."""
--- a/packages/radishd/src/radishd/connection/transfer.py
+++ b/packages/radishd/src/radishd/connection/transfer.py
@@ -20,7 +20,7 @@
 SEED_AFTER_MS = 1_000
 
 
-def pieces_of(held: holder_lib.Held) -> list[bytes]:
+def pieces_of(held: holder_lib.HeldVersion) -> list[bytes]:
     """Cuts a version into chunks; the first names it."""
     head = {"version": held.version, "write_id": held.write_id}
     data = json.dumps(document_lib.to_plain(held.document)).encode()
@@ -33,7 +33,7 @@
     ]
 
 
-def join(pieces: list[bytes]) -> result.Outcome[holder_lib.Held]:
+def join(pieces: list[bytes]) -> result.Outcome[holder_lib.HeldVersion]:
     """Puts a version together from its chunks."""
     try:
         head = json.loads(pieces[0])
@@ -43,12 +43,12 @@
         return result.Failure(result.STORE_CORRUPT, f"a peer's: {error!r}")
     if isinstance(document, tuple):
         return result.Failure(result.STORE_CORRUPT, f"a peer's: {document[0]}")
-    return holder_lib.Held(version, write_id, document)
+    return holder_lib.HeldVersion(version, write_id, document)
 
 
 async def fetch_newest(
     links: link_lib.Links, seeds: tuple[str, ...]
-) -> holder_lib.Held | None:
+) -> holder_lib.HeldVersion | None:
     """Asks several peers and returns the newest version any of them holds.
 
     One peer alone may be cut off and old; taking its word would put a
@@ -61,7 +61,7 @@
     Returns:
         The newest version, or None if no peer answered with one.
     """
-    found: list[holder_lib.Held] = []
+    found: list[holder_lib.HeldVersion] = []
 
     async def ask(address: str) -> None:
         held = await _fetch(links, address)
@@ -99,7 +99,7 @@
 
 async def _fetch(
     links: link_lib.Links, address: str
-) -> result.Outcome[holder_lib.Held]:
+) -> result.Outcome[holder_lib.HeldVersion]:
     link = await links.get(address, address)
     if isinstance(link, result.Failure):
         return link
@@ -115,7 +115,7 @@
 
 async def _collect(
     link: link_lib.Link, stream: int, inbox: inbox_lib.Inbox
-) -> result.Outcome[holder_lib.Held]:
+) -> result.Outcome[holder_lib.HeldVersion]:
     order = sequence.Sequence()
     pieces: list[bytes] = []
     while True:
--- a/packages/radishd/src/radishd/entry.py
+++ b/packages/radishd/src/radishd/entry.py
@@ -96,7 +96,7 @@
         self.heard_leaving = names
         self.router.listed_leaving = self.listed_leaving | names
 
-    def _version_raised(self, held: holder_lib.Held) -> None:
+    def _version_raised(self, held: holder_lib.HeldVersion) -> None:
         self.links.version = held.version
 
     async def app(
@@ -235,7 +235,7 @@
             self.last_failures[number] = self.last_failures.get(number, 0) + 1
 
     async def rank(
-        self, resolution: resolve.Resolution, held: holder_lib.Held
+        self, resolution: resolve.Resolution, held: holder_lib.HeldVersion
     ) -> list[str]:
         """Orders the candidates of a request, probing where it helps."""
         candidates = list(resolution.candidates)
@@ -256,7 +256,7 @@
         )
 
     async def _probe(
-        self, name: str, adapter: str, held: holder_lib.Held
+        self, name: str, adapter: str, held: holder_lib.HeldVersion
     ) -> None:
         target = held.document.targets[name]
         address = settings_lib.split_address(target.address)
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -322,7 +322,7 @@
             self.crash_gossip.handle_report(datagram, sender)
         elif isinstance(datagram, fleet_wire.RateLimitReport):
             self.rate_limits.handle(datagram, sender)
-        elif isinstance(datagram, fleet_wire.State):
+        elif isinstance(datagram, fleet_wire.StatusUpdate):
             self.sidecars.handle_status(datagram, sender)
         elif isinstance(datagram, usage_loan.Message):
             _, port = settings_lib.split_address(self.own.peers)
--- a/packages/radishd/src/radishd/platform/wire.py
+++ b/packages/radishd/src/radishd/platform/wire.py
@@ -123,11 +123,13 @@
     shares = raw.get("backends")
     if shares:
         split = tuple(
-            route_table.Share(one["service"], float(one.get("weight", 1)))
+            route_table.WeightedService(
+                one["service"], float(one.get("weight", 1))
+            )
             for one in shares
         )
     else:
-        split = (route_table.Share(raw["service"], 1.0),)
+        split = (route_table.WeightedService(raw["service"], 1.0),)
     # Despite its general name, `type` says what may be repeated; a streaming
     # route's answers may be only where it is marked resumable.
     kind = raw["type"]
--- a/packages/radishd/src/radishd/process/configuration.py
+++ b/packages/radishd/src/radishd/process/configuration.py
@@ -20,7 +20,7 @@
 UNWATCHED_POLL_MS = 60_000
 MS_PER_S = 1000.0
 
-Listener = Callable[[holder_lib.Held], None]
+Listener = Callable[[holder_lib.HeldVersion], None]
 
 
 class Configuration:
@@ -35,7 +35,7 @@
         self.on_commit: Callable[[commit_lib.Commit], None] | None = None
 
     @property
-    def held(self) -> holder_lib.Held:
+    def held(self) -> holder_lib.HeldVersion:
         """The version in force here."""
         return self.holder.held
 
@@ -43,7 +43,7 @@
         """Adds a function that is called with every newer version."""
         self._listeners.append(listener)
 
-    def offer(self, held: holder_lib.Held) -> None:
+    def offer(self, held: holder_lib.HeldVersion) -> None:
         """Applies a version, and notifies the listeners if it is newer."""
         if not self.holder.offer(held):
             return
@@ -176,7 +176,7 @@
 
 async def read_now(
     store: store_lib.Store,
-) -> result.Outcome[holder_lib.Held]:
+) -> result.Outcome[holder_lib.HeldVersion]:
     """Reads the version in force from the store, for an operator's tool."""
     read = await store_lib.read_root(store)
     if isinstance(read, result.Failure):
@@ -188,7 +188,7 @@
     store: store_lib.Store,
     *,
     operations: tuple[operation_lib.Operation, ...],
-    base: holder_lib.Held,
+    base: holder_lib.HeldVersion,
     operator: str,
     reason: str,
 ) -> result.Outcome[publish.Accepted]:
@@ -251,7 +251,7 @@
 
 
 async def _catch_up_for(
-    base: holder_lib.Held, store: store_lib.Store
+    base: holder_lib.HeldVersion, store: store_lib.Store
 ) -> result.Outcome[publish.CaughtUp]:
     read = await store_lib.read_root(store)
     if isinstance(read, result.Failure):
--- a/packages/radishd/src/radishd/process/configuration_gossip.py
+++ b/packages/radishd/src/radishd/process/configuration_gossip.py
@@ -60,7 +60,7 @@
         configuration.listen(self._on_new_version)
         configuration.on_commit = self._on_commit
 
-    def _on_new_version(self, held: holder_lib.Held) -> None:
+    def _on_new_version(self, held: holder_lib.HeldVersion) -> None:
         targets = held.document.targets.values()
         self._targets = tuple(
             settings_lib.split_address(target.address) for target in targets
--- a/packages/radishd/src/radishd/process/crash_gossip.py
+++ b/packages/radishd/src/radishd/process/crash_gossip.py
@@ -184,7 +184,8 @@
         """Handles a report of another gateway, and answers its request."""
         now_ms = clock.boot_ms()
         entries = [
-            fleet_wire.record_of(record, now_ms) for record in report.records
+            fleet_wire.from_reported_record(record, now_ms)
+            for record in report.records
         ]
         self.merge(entries, source=sender[0])
         missed_records = list(
@@ -211,7 +212,9 @@
         records: list[crash_evidence.Record],
     ) -> None:
         now_ms = clock.boot_ms()
-        entries = [fleet_wire.told_record(record, now_ms) for record in records]
+        entries = [
+            fleet_wire.to_reported_record(record, now_ms) for record in records
+        ]
         for first in range(0, len(entries), MAX_RECORDS_PER_DATAGRAM):
             batch = tuple(entries[first : first + MAX_RECORDS_PER_DATAGRAM])
             await self._send(addresses, fleet_wire.CrashReport(batch))
--- a/packages/radishd/src/radishd/process/store.py
+++ b/packages/radishd/src/radishd/process/store.py
@@ -264,8 +264,8 @@
 
 
 async def catch_up(
-    store: Store, held: holder_lib.Held, root: commit_lib.Root
-) -> result.Outcome[holder_lib.Held]:
+    store: Store, held: holder_lib.HeldVersion, root: commit_lib.Root
+) -> result.Outcome[holder_lib.HeldVersion]:
     """Reads the snapshot or commits needed to reach the root's version.
 
     Args:
@@ -284,7 +284,7 @@
             document = await read_snapshot(store, root)
             if isinstance(document, result.Failure):
                 return document
-            held = holder_lib.Held(
+            held = holder_lib.HeldVersion(
                 plan.version, root.snapshot_write_id, document
             )
             continue
--- a/packages/radishd/src/radishd/request/caller.py
+++ b/packages/radishd/src/radishd/request/caller.py
@@ -56,7 +56,7 @@
         self,
         entry: "entry_lib.Entry",
         intake: intake_lib.Intake,
-        held: holder_lib.Held,
+        held: holder_lib.HeldVersion,
         resolution: resolve.Resolution,
         send: web.Send,
         accepted_at_ms: int,
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -211,7 +211,7 @@
         )
         if not words:
             return
-        state = fleet_wire.State(
+        state = fleet_wire.StatusUpdate(
             instance=self.instance,
             running=report.running if report is not None else 0,
             queued=report.queued if report is not None else 0,
--- a/packages/radishd/src/radishd/sidecar_exchange.py
+++ b/packages/radishd/src/radishd/sidecar_exchange.py
@@ -105,12 +105,12 @@
             self._placement.note_demand_sent(member, clock.boot_ms())
         host, _ = settings_lib.split_address(listing.address)
         datagram = fleet_wire.DemandDatagram(demand, self._own.peers)
-        left_out_count = fleet_wire.left_out_count(datagram)
-        if left_out_count:
+        omitted_count = fleet_wire.omitted_count(datagram)
+        if omitted_count:
             self._log.write(
                 "demand_cut",
                 target=listing.instance,
-                left_out=left_out_count,
+                left_out=omitted_count,
             )
         await self._socket.send((host, self._own.sidecar_port), datagram)
 
@@ -123,7 +123,7 @@
             await anyio.sleep(DEMAND_EVERY_MS / MS_PER_S)
 
     def handle_status(
-        self, datagram: fleet_wire.State, sender: fleet_socket.Address
+        self, datagram: fleet_wire.StatusUpdate, sender: fleet_socket.Address
     ) -> None:
         """Applies the status update of a sidecar."""
         self._peers.heard(datagram.peer_addresses)
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -119,7 +119,7 @@
         self.seals: dict[int, tuple[Any, int]] = {}
         self.configuration.listen(self._version_raised)
 
-    def _version_raised(self, held: holder_lib.Held) -> None:
+    def _version_raised(self, held: holder_lib.HeldVersion) -> None:
         self.links.version = held.version
         self.handle(event_lib.VersionActivated(held))
 
--- a/packages/radishstack/src/radishstack/connection/clock_offset.py
+++ b/packages/radishstack/src/radishstack/connection/clock_offset.py
@@ -12,13 +12,13 @@
     the last one to two windows count, or deadlines would shrink with it.
     """
 
-    __slots__ = ("_current_ms", "_previous_ms", "_since_ms")
+    __slots__ = ("_previous_min_ms", "_window_min_ms", "_window_start_ms")
 
     def __init__(self) -> None:
         """Starts with no estimate."""
-        self._current_ms: int | None = None
-        self._previous_ms: int | None = None
-        self._since_ms = 0
+        self._window_min_ms: int | None = None
+        self._previous_min_ms: int | None = None
+        self._window_start_ms = 0
 
     def observe(self, sent_at_ms: int, now_ms: int) -> None:
         """Learns from a frame's times.
@@ -28,13 +28,16 @@
             now_ms: When it arrived, on this one.
         """
         difference_ms = now_ms - sent_at_ms
-        if self._current_ms is None or now_ms - self._since_ms >= WINDOW_MS:
-            self._previous_ms = self._current_ms
-            self._current_ms = difference_ms
-            self._since_ms = now_ms
-        self._current_ms = min(self._current_ms, difference_ms)
-
-    def to_own(self, at_ms: int) -> int:
+        if (
+            self._window_min_ms is None
+            or now_ms - self._window_start_ms >= WINDOW_MS
+        ):
+            self._previous_min_ms = self._window_min_ms
+            self._window_min_ms = difference_ms
+            self._window_start_ms = now_ms
+        self._window_min_ms = min(self._window_min_ms, difference_ms)
+
+    def to_local(self, at_ms: int) -> int:
         """Converts a time on the peer's clock to this one.
 
         Args:
@@ -44,6 +47,6 @@
             The time here, later than it truly was by the smallest transit
             and by what the clocks drifted apart within two windows.
         """
-        if self._previous_ms is None:
-            return at_ms + self._current_ms
-        return at_ms + min(self._current_ms, self._previous_ms)
+        if self._previous_min_ms is None:
+            return at_ms + self._window_min_ms
+        return at_ms + min(self._window_min_ms, self._previous_min_ms)
--- a/packages/radishstack/src/radishstack/connection/fleet_wire.py
+++ b/packages/radishstack/src/radishstack/connection/fleet_wire.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
+class StatusUpdate:
     """An engine's state, in the word of the process beside it.
 
     Attributes:
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldObservation:
+class ReportedObservation:
     """One crash with a request running, in a word between gateways.
 
     Attributes:
@@ -93,7 +93,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldRecord:
+class ReportedRecord:
     """What is known against one request, in a word between gateways.
 
     Attributes:
@@ -104,7 +104,7 @@
     """
 
     fingerprint: str
-    observations: tuple[ToldObservation, ...]
+    observations: tuple[ReportedObservation, ...]
     cleared_ago_ms: int | None = None
 
 
@@ -117,7 +117,7 @@
         asks: Whether the reader is to tell what it knows.
     """
 
-    records: tuple[ToldRecord, ...] = ()
+    records: tuple[ReportedRecord, ...] = ()
     asks: bool = False
 
 
@@ -138,18 +138,24 @@
 
 
 Datagram = (
-    DemandDatagram | State | CrashReport | RateLimitReport | usage_loan.Message
+    DemandDatagram
+    | StatusUpdate
+    | CrashReport
+    | RateLimitReport
+    | usage_loan.Message
 )
 
 
-def told_record(record: crash_evidence.Record, now_ms: int) -> ToldRecord:
+def to_reported_record(
+    record: crash_evidence.Record, now_ms: int
+) -> ReportedRecord:
     """Returns a record with ages in place of times of this VM's clock."""
     cleared_at_ms = record.cleared_at_ms
     is_cleared = cleared_at_ms != crash_evidence.NEVER_MS
-    return ToldRecord(
+    return ReportedRecord(
         record.fingerprint,
         tuple(
-            ToldObservation(
+            ReportedObservation(
                 one.incarnation_id,
                 max(0, now_ms - one.began_at_ms),
                 max(0, now_ms - one.ended_at_ms),
@@ -160,26 +166,28 @@
     )
 
 
-def record_of(told: ToldRecord, now_ms: int) -> crash_evidence.Record:
+def from_reported_record(
+    reported: ReportedRecord, now_ms: int
+) -> crash_evidence.Record:
     """Returns a record with times of this VM's clock in place of ages."""
     cleared_at_ms = crash_evidence.NEVER_MS
-    if told.cleared_ago_ms is not None:
-        cleared_at_ms = now_ms - told.cleared_ago_ms
+    if reported.cleared_ago_ms is not None:
+        cleared_at_ms = now_ms - reported.cleared_ago_ms
     return crash_evidence.Record(
-        told.fingerprint,
+        reported.fingerprint,
         tuple(
             crash_evidence.Observation(
                 one.incarnation_id,
                 now_ms - one.began_ago_ms,
                 now_ms - one.ended_ago_ms,
             )
-            for one in told.observations
+            for one in reported.observations
         ),
         cleared_at_ms,
     )
 
 
-def left_out_count(datagram: DemandDatagram) -> int:
+def omitted_count(datagram: DemandDatagram) -> int:
     """Returns how many entries of a demand do not fit into its datagram."""
     demand = datagram.demand
     lists = (demand.uses, demand.wants, demand.announced)
@@ -210,13 +218,13 @@
         ],
         "wants": [
             {
-                "adapter": want.adapter,
-                "version": want.version,
-                "waiting": min(want.waiting, MAX_COUNT),
-                "firstDueMs": want.first_due_ms,
-                "lastDueMs": want.last_due_ms,
+                "adapter": load_request.adapter,
+                "version": load_request.version,
+                "waiting": min(load_request.waiting, MAX_COUNT),
+                "firstDueMs": load_request.first_due_ms,
+                "lastDueMs": load_request.last_due_ms,
             }
-            for want in demand.wants[:MAX_ENTRIES]
+            for load_request in demand.wants[:MAX_ENTRIES]
         ],
         "announced": [
             {"adapter": adapter, "version": version}
@@ -228,13 +236,13 @@
 
 
 @encode.register
-def _(datagram: State) -> bytes:
+def _(datagram: StatusUpdate) -> bytes:
     body = {
         "instance": datagram.instance,
         "running": datagram.running,
         "queued": datagram.queued,
-        "residents": _holdings(datagram.residents),
-        "pending": _holdings(dict.fromkeys(sorted(datagram.pending), 0)),
+        "residents": _encode_holdings(datagram.residents),
+        "pending": _encode_holdings(dict.fromkeys(sorted(datagram.pending), 0)),
         "peerAddresses": list(datagram.peer_addresses),
         "loadWaitMs": datagram.load_wait.wait_ms,
         "loadGapMs": min(round(datagram.load_wait.gap_ms), MAX_COUNT),
@@ -244,7 +252,7 @@
         "formerBornMs": datagram.former_born_ms,
         "nextMs": min(datagram.next_ms, MAX_COUNT),
         "gatewayCount": min(datagram.gateway_count, MAX_COUNT),
-        "recent": _holdings(dict.fromkeys(datagram.recent, 0)),
+        "recent": _encode_holdings(dict.fromkeys(datagram.recent, 0)),
         "leaving": datagram.leaving,
     }
     return _wire.FleetDatagram.new_message(state=body).to_bytes_packed()
@@ -301,7 +309,7 @@
     return _wire.FleetDatagram.new_message(usageLoan=body).to_bytes_packed()
 
 
-def _holdings(versions: Mapping[str, int]) -> list[dict[str, Any]]:
+def _encode_holdings(versions: Mapping[str, int]) -> list[dict[str, Any]]:
     by_base: dict[str, dict[str, Any]] = {}
     for name, version in versions.items():
         base, _, adapter = name.partition("/")
@@ -317,7 +325,7 @@
     return list(by_base.values())
 
 
-def _versions(holdings: Any) -> dict[str, int]:
+def _decode_holdings(holdings: Any) -> dict[str, int]:
     versions = {}
     for holding in holdings:
         if holding.isResident:
@@ -383,13 +391,13 @@
     return DemandDatagram(demand, body.peerAddress)
 
 
-def _decode_state(body: object) -> State:
-    return State(
+def _decode_state(body: object) -> StatusUpdate:
+    return StatusUpdate(
         instance=body.instance,
         running=body.running,
         queued=body.queued,
-        residents=_versions(body.residents),
-        pending=frozenset(_versions(body.pending)),
+        residents=_decode_holdings(body.residents),
+        pending=frozenset(_decode_holdings(body.pending)),
         peer_addresses=tuple(body.peerAddresses),
         load_wait=adapter_keeper.LoadWait(
             body.loadWaitMs, body.loadGapMs, body.loadInTimeMs, body.fetchMs
@@ -398,17 +406,17 @@
         former_born_ms=body.formerBornMs,
         next_ms=body.nextMs,
         gateway_count=body.gatewayCount,
-        recent=tuple(_versions(body.recent)),
+        recent=tuple(_decode_holdings(body.recent)),
         leaving=body.leaving,
     )
 
 
 def _decode_crash_report(body: object) -> CrashReport:
     records = tuple(
-        ToldRecord(
+        ReportedRecord(
             bytes(record.fingerprint).hex(),
             tuple(
-                ToldObservation(
+                ReportedObservation(
                     incarnation.IncarnationId(one.target, one.bornMs),
                     one.beganAgoMs,
                     one.endedAgoMs,
--- a/packages/radishstack/src/radishstack/connection/frame.py
+++ b/packages/radishstack/src/radishstack/connection/frame.py
@@ -16,7 +16,7 @@
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 17 * 1024 * 1024
 ATTEMPT_ID_BYTES = 16
-MAX_LEAVING_NAMES = 64
+MAX_DRAINING_NAMES = 64
 
 _wire = capnp.load(str(pathlib.Path(__file__).with_name("wire.capnp")))
 _TRAVERSAL_LIMIT_WORDS = MAX_FRAME_BYTES
@@ -388,20 +388,22 @@
         buffer = self._buffer
         buffer += data
         messages = []
-        start = 0
-        while len(buffer) - start >= LENGTH_BYTES:
-            head = start + LENGTH_BYTES
-            length = int.from_bytes(buffer[start:head], "little")
+        frame_start = 0
+        while len(buffer) - frame_start >= LENGTH_BYTES:
+            message_start = frame_start + LENGTH_BYTES
+            length = int.from_bytes(buffer[frame_start:message_start], "little")
             if length > self.max_frame_bytes:
                 return result.Failure(
                     result.FRAME_TOO_LARGE,
                     f"{length} bytes, at most {self.max_frame_bytes}",
                 )
-            if len(buffer) - head < length:
+            if len(buffer) - message_start < length:
                 break
-            messages.append(bytes(buffer[head : head + length]))
-            start = head + length
-        del buffer[:start]
+            messages.append(
+                bytes(buffer[message_start : message_start + length])
+            )
+            frame_start = message_start + length
+        del buffer[:frame_start]
         return messages
 
 
@@ -417,7 +419,7 @@
         case Digest():
             digest = message.init("digest")
             digest.version, digest.reply = body.version, body.reply
-            digest.leaving = list(body.leaving[:MAX_LEAVING_NAMES])
+            digest.leaving = list(body.leaving[:MAX_DRAINING_NAMES])
         case PushedCommit():
             message.commit = body.data
     return message.to_bytes_packed()
--- a/packages/radishstack/src/radishstack/request/resolve.py
+++ b/packages/radishstack/src/radishstack/request/resolve.py
@@ -63,7 +63,7 @@
 
 
 def resolve(
-    fields: RoutingFields, held: holder_lib.Held
+    fields: RoutingFields, held: holder_lib.HeldVersion
 ) -> result.Outcome[Resolution]:
     """Resolves a request against one version.
 
--- a/packages/radishstack/src/radishstack/target_event.py
+++ b/packages/radishstack/src/radishstack/target_event.py
@@ -141,7 +141,7 @@
 class VersionActivated:
     """A newer configuration version is in force."""
 
-    held: holder_lib.Held
+    held: holder_lib.HeldVersion
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/radishstack/src/radishstack/version/checks.py
+++ b/packages/radishstack/src/radishstack/version/checks.py
@@ -34,11 +34,11 @@
 
     path: str
     value: str
-    mend: str
+    fix: str
 
     def __str__(self) -> str:
         """One line for a person."""
-        return f"{self.path}: {self.value}: {self.mend}"
+        return f"{self.path}: {self.value}: {self.fix}"
 
 
 def shorten(value: object, limit: int = 60) -> str:
@@ -54,12 +54,12 @@
 
 def _explain_one(detail: Any) -> Problem:
     path = ".".join(str(part) for part in detail["loc"]) or "(whole)"
-    mend = detail["msg"]
+    fix = detail["msg"]
     match detail["type"]:
         case "unexpected_keyword_argument" | "extra_forbidden":
-            mend = "unknown key; remove it or correct its spelling"
+            fix = "unknown key; remove it or correct its spelling"
         case "missing" | "missing_argument" | "missing_keyword_only_argument":
             return Problem(path, "(missing)", "add this key")
         case "string_pattern_mismatch":
-            mend = f"write a text that matches {detail['ctx']['pattern']}"
-    return Problem(path, shorten(detail["input"]), mend)
+            fix = f"write a text that matches {detail['ctx']['pattern']}"
+    return Problem(path, shorten(detail["input"]), fix)
--- a/packages/radishstack/src/radishstack/version/client_account.py
+++ b/packages/radishstack/src/radishstack/version/client_account.py
@@ -73,11 +73,11 @@
     owners: dict[bytes, str] = {}
     ambiguous: set[bytes] = set()
     for account, digests in entries:
-        own = frozenset(digests)
+        key_digests = frozenset(digests)
         accounts[account.name] = dataclasses.replace(
-            account, key_count=len(own)
+            account, key_count=len(key_digests)
         )
-        for digest in own:
+        for digest in key_digests:
             if owners.setdefault(digest, account.name) != account.name:
                 ambiguous.add(digest)
     for digest in ambiguous:
--- a/packages/radishstack/src/radishstack/version/document.py
+++ b/packages/radishstack/src/radishstack/version/document.py
@@ -395,15 +395,17 @@
     target = document.targets.get(name)
     if target is None:
         return [_dangling(path, name, "targets")]
-    wanted = (
+    expected_kind = (
         checks.TargetKind.ENGINE
         if service.kind is ServiceKind.MODEL
         else checks.TargetKind.PLAIN
     )
-    if target.kind is not wanted:
+    if target.kind is not expected_kind:
         return [
             checks.Problem(
-                path, checks.shorten(name), f"name a target of kind {wanted}"
+                path,
+                checks.shorten(name),
+                f"name a target of kind {expected_kind}",
             )
         ]
     return []
--- a/packages/radishstack/src/radishstack/version/holder.py
+++ b/packages/radishstack/src/radishstack/version/holder.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class HeldVersion:
     """One version, held by whoever works on it for as long as it does.
 
     Attributes:
@@ -24,22 +24,22 @@
     document: document_lib.Document
 
 
-EMPTY = Held(0, "", document_lib.Document())
+EMPTY = HeldVersion(0, "", document_lib.Document())
 
 
 class Holder:
     """Holds the newest version this process has seen."""
 
-    def __init__(self, held: Held = EMPTY) -> None:
+    def __init__(self, held: HeldVersion = EMPTY) -> None:
         """Starts from a version, by default from none."""
         self._held = held
 
     @property
-    def held(self) -> Held:
+    def held(self) -> HeldVersion:
         """The version in force here."""
         return self._held
 
-    def offer(self, held: Held) -> bool:
+    def offer(self, held: HeldVersion) -> bool:
         """Applies a whole version if it is newer.
 
         An old answer of a watch, or a peer that lags, may offer an older
@@ -56,7 +56,7 @@
         self._replace(held)
         return True
 
-    def _replace(self, held: Held) -> None:
+    def _replace(self, held: HeldVersion) -> None:
         invariant.require(
             held.version > self._held.version,
             result.VERSION_FELL,
@@ -65,7 +65,9 @@
         self._held = held
 
 
-def follow(held: Held, commit: commit_lib.Commit) -> result.Outcome[Held]:
+def follow(
+    held: HeldVersion, commit: commit_lib.Commit
+) -> result.Outcome[HeldVersion]:
     """Returns the version a commit makes of the one before it."""
     if commit.version != held.version + 1 or commit.parent_id != held.write_id:
         return result.Failure(
@@ -83,7 +85,7 @@
         return result.Failure(
             result.STORE_CORRUPT, f"commit {commit.version}: {document[0]}"
         )
-    return Held(commit.version, commit.write_id, document)
+    return HeldVersion(commit.version, commit.write_id, document)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -104,7 +106,7 @@
 CatchUp = ReadSnapshot | ReadCommits | None
 
 
-def plan_catch_up(held: Held, root: commit_lib.Root) -> CatchUp:
+def plan_catch_up(held: HeldVersion, root: commit_lib.Root) -> CatchUp:
     """Decides what to read in order to hold the root's version.
 
     Args:
--- a/packages/radishstack/src/radishstack/version/operation.py
+++ b/packages/radishstack/src/radishstack/version/operation.py
@@ -21,7 +21,7 @@
 from radishstack.version import document as document_lib
 
 MS_PER_HOUR = 3_600_000
-PLACEMENT_KEEP_MS = 24 * MS_PER_HOUR
+PLACEMENT_RETENTION_MS = 24 * MS_PER_HOUR
 
 _operation = functools.partial(
     pydantic.dataclasses.dataclass,
@@ -75,7 +75,7 @@
 Operation = PutEntity | RemoveEntity | SetField | AddVersion
 TaggedOperation = Annotated[Operation, pydantic.Field(discriminator="op")]
 
-WHOLE = "*"
+WHOLE_ENTITY = "*"
 FieldKey = tuple[str, str, str]
 
 
@@ -103,13 +103,13 @@
 
 @_writes.register
 def _put_writes(operation: PutEntity) -> dict[FieldKey, str]:
-    key = (operation.kind, operation.name, WHOLE)
+    key = (operation.kind, operation.name, WHOLE_ENTITY)
     return {key: _canonical(operation.value)}
 
 
 @_writes.register
 def _remove_writes(operation: RemoveEntity) -> dict[FieldKey, str]:
-    return {(operation.kind, operation.name, WHOLE): "removed"}
+    return {(operation.kind, operation.name, WHOLE_ENTITY): "removed"}
 
 
 @_writes.register
@@ -147,19 +147,19 @@
                 continue
             if field == their_field and value == other:
                 continue
-            path = field if field != WHOLE else their_field
-            suffix = "" if path == WHOLE else f".{path}"
+            path = field if field != WHOLE_ENTITY else their_field
+            suffix = "" if path == WHOLE_ENTITY else f".{path}"
             return f"{kind}.{name}{suffix}"
     return None
 
 
 def _fields_overlap(ours: str, theirs: str) -> bool:
-    if WHOLE in (ours, theirs) or ours == theirs:
+    if WHOLE_ENTITY in (ours, theirs) or ours == theirs:
         return True
     return ours.startswith(f"{theirs}.") or theirs.startswith(f"{ours}.")
 
 
-Applied = document_lib.Document | tuple[checks.Problem, ...]
+ApplyResult = document_lib.Document | tuple[checks.Problem, ...]
 
 
 def apply(
@@ -169,7 +169,7 @@
     version: int,
     at_ms: int,
     accepted: bool = False,
-) -> Applied:
+) -> ApplyResult:
     """Applies operations and checks the whole result.
 
     Args:
@@ -223,7 +223,7 @@
             path, kind, f"name one of {', '.join(document_lib.KINDS)}"
         )
     try:
-        entity = _adapter_for(entity_type).validate_python(value)
+        entity = _type_adapter_for(entity_type).validate_python(value)
     except pydantic.ValidationError as error:
         first = checks.explain(error)[0]
         return dataclasses.replace(first, path=f"{path}.{first.path}")
@@ -232,7 +232,7 @@
 
 
 @functools.cache
-def _adapter_for(entity_type: type) -> pydantic.TypeAdapter[Any]:
+def _type_adapter_for(entity_type: type) -> pydantic.TypeAdapter[Any]:
     return pydantic.TypeAdapter(entity_type)
 
 
@@ -241,7 +241,7 @@
     return _build(operation.kind, operation.name, operation.value, tables)
 
 
-def _missing(kind: str, name: str) -> checks.Problem:
+def _missing_entity(kind: str, name: str) -> checks.Problem:
     return checks.Problem(
         f"{kind}.{name}", "(missing)", "no such entry; add it first"
     )
@@ -252,7 +252,7 @@
     operation: RemoveEntity, tables: Tables
 ) -> checks.Problem | None:
     if operation.name not in tables.get(operation.kind, {}):
-        return _missing(operation.kind, operation.name)
+        return _missing_entity(operation.kind, operation.name)
     del tables[operation.kind][operation.name]
     return None
 
@@ -261,7 +261,7 @@
 def _apply_set(operation: SetField, tables: Tables) -> checks.Problem | None:
     entity = tables.get(operation.kind, {}).get(operation.name)
     if entity is None:
-        return _missing(operation.kind, operation.name)
+        return _missing_entity(operation.kind, operation.name)
     value = entity_to_plain(entity)
     if operation.value is None:
         value.pop(operation.field, None)
@@ -276,7 +276,7 @@
 ) -> checks.Problem | None:
     adapter = tables["adapters"].get(operation.name)
     if adapter is None:
-        return _missing("adapters", operation.name)
+        return _missing_entity("adapters", operation.name)
     added = document_lib.AdapterVersion(
         version=operation.version, source=operation.source
     )
@@ -298,8 +298,8 @@
 
 def entity_to_plain(entity: document_lib.Entity) -> dict[str, Any]:
     """Renders one entity as plain data, without absent fields."""
-    adapter = _adapter_for(type(entity))
-    return adapter.dump_python(entity, mode="json", exclude_none=True)
+    type_adapter = _type_adapter_for(type(entity))
+    return type_adapter.dump_python(entity, mode="json", exclude_none=True)
 
 
 def _placements_after(
@@ -314,7 +314,7 @@
     A key that ran on a former home must not run again on the new one, so a
     new home has to know whom to ask.
     """
-    keep_after_ms = at_ms - PLACEMENT_KEEP_MS
+    keep_after_ms = at_ms - PLACEMENT_RETENTION_MS
     result = {
         name: kept
         for name, entries in before.placements.items()
--- a/packages/radishstack/src/radishstack/version/publish.py
+++ b/packages/radishstack/src/radishstack/version/publish.py
@@ -11,7 +11,7 @@
 from radishstack.version import holder as holder_lib
 from radishstack.version import operation as operation_lib
 
-MAX_RACES = 16
+MAX_RETRIES = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     write_id: str
     operator: str
     reason: str
-    base: holder_lib.Held
+    base: holder_lib.HeldVersion
     operations: tuple[operation_lib.Operation, ...]
 
 
@@ -37,7 +37,7 @@
 class CatchUp:
     """Read the root and every commit since ``held``; answer ``CaughtUp``."""
 
-    held: holder_lib.Held
+    held: holder_lib.HeldVersion
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
 
     revision: int
     root: commit_lib.Root
-    held: holder_lib.Held
+    held: holder_lib.HeldVersion
     since: tuple[commit_lib.Commit, ...]
 
 
@@ -116,7 +116,7 @@
         """
         self.proposal = proposal
         self.now_ms = now_ms
-        self.races = 0
+        self.retry_count = 0
         self.caught_up: CaughtUp | None = None
         self.commit: commit_lib.Commit | None = None
         self.root_sent = False
@@ -149,7 +149,7 @@
             for ours in proposal.operations:
                 path = operation_lib.find_conflict(ours, theirs)
                 if path is not None:
-                    return _refuse_conflict(path, commit)
+                    return _conflict_failure(path, commit)
     version = event.root.version + 1
     document = operation_lib.apply(
         event.held.document,
@@ -179,7 +179,7 @@
     )
 
 
-def _refuse_conflict(path: str, commit: commit_lib.Commit) -> result.Failure:
+def _conflict_failure(path: str, commit: commit_lib.Commit) -> result.Failure:
     return result.Failure(
         result.CHANGE_CONFLICT,
         f"{path} was changed by {commit.audit.operator} in version "
@@ -201,19 +201,19 @@
 @_handle.register
 def _conflicted(event: Conflicted, publisher: Publisher) -> Next:
     del event
-    return _look_again(publisher)
+    return _retry(publisher)
 
 
 @_handle.register
 def _uncertain(event: Uncertain, publisher: Publisher) -> Next:
     del event
-    return _look_again(publisher)
+    return _retry(publisher)
 
 
-def _look_again(publisher: Publisher) -> Next:
-    publisher.races += 1
+def _retry(publisher: Publisher) -> Next:
+    publisher.retry_count += 1
     publisher.root_sent = False
-    if publisher.races > MAX_RACES:
+    if publisher.retry_count > MAX_RETRIES:
         return result.Failure(
             result.CHANGE_RACED,
             "too many concurrent changes; nothing was changed by this one "
--- a/packages/radishstack/src/radishstack/version/route_table.py
+++ b/packages/radishstack/src/radishstack/version/route_table.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Share:
+class WeightedService:
     """A service and its weight among the services of one route."""
 
     service: str
@@ -62,7 +62,7 @@
     gap_objective_ms: int
     priority: int
     max_targets: int
-    shares: tuple[Share, ...]
+    shares: tuple[WeightedService, ...]
     public: bool = False
 
     @property
@@ -172,8 +172,8 @@
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
     ordered = {
-        host: tuple(sorted(own, key=lambda one: -len(one.path_prefix)))
-        for host, own in by_host.items()
+        host: tuple(sorted(host_routes, key=lambda one: -len(one.path_prefix)))
+        for host, host_routes in by_host.items()
     }
     return RouteTable(
         version,
--- a/packages/radishstack/src/radishstack/version/table_changes.py
+++ b/packages/radishstack/src/radishstack/version/table_changes.py
@@ -46,20 +46,24 @@
         lines only their number.
     """
     lines = (
-        *_entries("route", _routes(before), _routes(after)),
-        *_entries("service", before.services, after.services),
-        *_fields("limits", before.limits, after.limits),
-        *_entries("account", _accounts(before), _accounts(after)),
-        *_keys(before, after),
+        *_entry_changes("route", _routes(before), _routes(after)),
+        *_entry_changes("service", before.services, after.services),
+        *_field_changes("limits", before.limits, after.limits),
+        *_entry_changes("account", _accounts(before), _accounts(after)),
+        *_key_changes(before, after),
     )
-    left_out = len(lines) - MAX_DETAILS
-    if left_out > 0:
-        return (*lines[:MAX_DETAILS], f"{left_out} further changes")
+    omitted_count = len(lines) - MAX_DETAILS
+    if omitted_count > 0:
+        return (*lines[:MAX_DETAILS], f"{omitted_count} further changes")
     return lines
 
 
 def _routes(table: route_table.RouteTable) -> dict[str, route_table.Route]:
-    return {route.name: route for own in table.routes.values() for route in own}
+    return {
+        route.name: route
+        for routes in table.routes.values()
+        for route in routes
+    }
 
 
 def _accounts(
@@ -68,7 +72,7 @@
     return {} if table.accounts is None else table.accounts.accounts
 
 
-def _keys(
+def _key_changes(
     before: route_table.RouteTable, after: route_table.RouteTable
 ) -> Iterator[str]:
     """Counts the keys that accounts gained and lost, and reveals none."""
@@ -87,7 +91,7 @@
     return {} if table.accounts is None else table.accounts.names_by_digest
 
 
-def _entries(
+def _entry_changes(
     noun: str, before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> Iterator[str]:
     for name in sorted(before.keys() | after.keys()):
@@ -96,10 +100,12 @@
         elif name not in before:
             yield f"{noun} {name} added"
         else:
-            yield from _fields(f"{noun} {name}", before[name], after[name])
+            yield from _field_changes(
+                f"{noun} {name}", before[name], after[name]
+            )
 
 
-def _fields(title: str, before: Any, after: Any) -> Iterator[str]:
+def _field_changes(title: str, before: Any, after: Any) -> Iterator[str]:
     for field in dataclasses.fields(after):
         old, new = getattr(before, field.name), getattr(after, field.name)
         if old != new:
@@ -109,6 +115,6 @@
 def _text(value: Any) -> str:
     if isinstance(value, tuple):
         return ", ".join(map(_text, value)) or "none"
-    if isinstance(value, route_table.Share):
+    if isinstance(value, route_table.WeightedService):
         return f"{value.service} at {value.weight:g}"
     return str(value)
--- a/proofs/crashes.py
+++ b/proofs/crashes.py
@@ -75,7 +75,7 @@
         only: int | None = None,
     ) -> None:
         told = tuple(
-            fleet_wire.told_record(one, self.now_ms) for one in records
+            fleet_wire.to_reported_record(one, self.now_ms) for one in records
         )
         data = fleet_wire.encode(fleet_wire.CrashReport(told))
         for to in range(GATEWAYS):
@@ -190,7 +190,9 @@
         news = fleet_wire.decode(word.data)
         evidence = self.gateways[word.to]
         for told in news.records:
-            record = fleet_wire.record_of(told, word.told_at_ms + ROAD_MS)
+            record = fleet_wire.from_reported_record(
+                told, word.told_at_ms + ROAD_MS
+            )
             evidence.take(record)
             unheard = evidence.missed_clearance(record)
             if unheard is not None:
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -296,8 +296,8 @@
     Mutant(
         "not run is true",
         "radishstack/connection/clock_offset.py",
-        "        self._current_ms = min(self._current_ms, difference_ms)",
-        "        self._current_ms = max(self._current_ms, difference_ms)",
+        "        self._window_min_ms = min(self._window_min_ms, difference_ms)",
+        "        self._window_min_ms = max(self._window_min_ms, difference_ms)",
         _test("test_clock_offset"),
     ),
     Mutant(
--- a/proofs/publication.py
+++ b/proofs/publication.py
@@ -69,14 +69,14 @@
         return tuple(reversed(commits))
 
     def catch_up(
-        self, held: holder_lib.Held, root: commit_lib.Root
-    ) -> holder_lib.Held:
+        self, held: holder_lib.HeldVersion, root: commit_lib.Root
+    ) -> holder_lib.HeldVersion:
         """Reads what is needed to hold a root's version."""
         while (plan := holder_lib.plan_catch_up(held, root)) is not None:
             if isinstance(plan, holder_lib.ReadSnapshot):
                 parts = [self.values[name] for name in plan.part_names]
                 document = commit_lib.decode_snapshot(parts)
-                held = holder_lib.Held(
+                held = holder_lib.HeldVersion(
                     plan.version, root.snapshot_write_id, document
                 )
                 continue
@@ -174,7 +174,7 @@
                 return publish.Written() if took else publish.Conflicted()
         raise AssertionError(operator.step)
 
-    def _catch_up(self, held: holder_lib.Held) -> publish.CaughtUp:
+    def _catch_up(self, held: holder_lib.HeldVersion) -> publish.CaughtUp:
         root = self.store.root()
         return publish.CaughtUp(
             self.store.revision,
--- a/proofs/world.py
+++ b/proofs/world.py
@@ -51,7 +51,9 @@
         self.random = random.Random(seed)
         self.counts = counts
         self.now_ms = 1_000
-        self.versions = [holder_lib.Held(1, "w1", scene.first_document())]
+        self.versions = [
+            holder_lib.HeldVersion(1, "w1", scene.first_document())
+        ]
         self.entry_versions = [0, 0]
         self.budget = retry_budget.RetryBudget()
         self.callers: list[actors.Caller] = []
@@ -683,7 +685,9 @@
             return
         self.counts["changes"] += 1
         number = held.version + 1
-        self.versions.append(holder_lib.Held(number, f"w{number}", document))
+        self.versions.append(
+            holder_lib.HeldVersion(number, f"w{number}", document)
+        )
 
     def leave(self, node: actors.Node) -> None:
         """Lets a process learn that its VM leaves."""
--- a/tests/fleet/test_crash_evidence.py
+++ b/tests/fleet/test_crash_evidence.py
@@ -278,13 +278,15 @@
     evidence = _evidence(_crash(0, 1_000, HARMFUL))
     evidence.succeeded(HARMFUL, 1_500)
     for record in (evidence.record(HARMFUL), crash_evidence.Record(HARMFUL)):
-        sent = fleet_wire.CrashReport((fleet_wire.told_record(record, 2_000),))
+        sent = fleet_wire.CrashReport(
+            (fleet_wire.to_reported_record(record, 2_000),)
+        )
         read = fleet_wire.decode(fleet_wire.encode(sent))
         assert read == sent
         (report,) = read.records
-        restored = fleet_wire.record_of(report, 2_000)
+        restored = fleet_wire.from_reported_record(report, 2_000)
         assert restored == record
-        assert fleet_wire.record_of(report, 9_000).cleared_at_ms in (
+        assert fleet_wire.from_reported_record(report, 9_000).cleared_at_ms in (
             8_500,
             crash_evidence.NEVER_MS,
         )
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -56,7 +56,7 @@
     )
     demand = adapter_keeper.Demand("g", "i", 9, ("base",), (), wants, {})
     datagram = fleet_wire.DemandDatagram(demand, "10.0.0.1:90")
-    assert fleet_wire.left_out_count(datagram) == 7
+    assert fleet_wire.omitted_count(datagram) == 7
     read = fleet_wire.decode(fleet_wire.encode(datagram))
     assert len(read.demand.wants) == fleet_wire.MAX_ENTRIES
 
--- a/tests/fleet/test_forwarding_decisions.py
+++ b/tests/fleet/test_forwarding_decisions.py
@@ -26,7 +26,7 @@
         "gap_objective_ms": 0,
         "priority": 0,
         "max_targets": 1,
-        "shares": (route_table.Share("s", 1.0),),
+        "shares": (route_table.WeightedService("s", 1.0),),
     }
     return route_table.Route(**(values | fields))
 
--- a/tests/fleet/test_starts.py
+++ b/tests/fleet/test_starts.py
@@ -321,7 +321,7 @@
             gateway = fleet.gateway
             member = gateway.roster.members[NAME]
             born_ms = member.listing.born_ms
-            state = fleet_wire.State(
+            state = fleet_wire.StatusUpdate(
                 instance=NAME,
                 running=0,
                 queued=0,
--- a/tests/operators/test_fleet.py
+++ b/tests/operators/test_fleet.py
@@ -25,7 +25,7 @@
         "gap_objective_ms": 600,
         "priority": 0,
         "max_targets": 1,
-        "shares": (route_table.Share("engines", 1.0),),
+        "shares": (route_table.WeightedService("engines", 1.0),),
     }
     return route_table.Route(**(fields | changes))
 
--- a/tests/stack/test_clock_offset.py
+++ b/tests/stack/test_clock_offset.py
@@ -6,7 +6,7 @@
 DAY_MS = 86_400_000
 
 
-def test_held_up_frame_does_not_prolong_its_deadline() -> None:
+def test_delayed_frame_does_not_extend_its_deadline() -> None:
     """A frame from before a freeze shows its age.
 
     Symptom: a call executed after its caller had given up. Sequence: a
@@ -17,10 +17,10 @@
     sent_at_ms, deadline_at_ms = 2_000, 3_000
     now_ms = 502_000 + TRANSIT_MS + 5_000
     offset.observe(sent_at_ms, now_ms)
-    assert offset.to_own(deadline_at_ms) < now_ms
+    assert offset.to_local(deadline_at_ms) < now_ms
 
 
-def test_drift_over_days_does_not_eat_deadlines() -> None:
+def test_clock_drift_does_not_shorten_deadlines() -> None:
     """A peer's slow clock must not make every deadline look past.
 
     Symptom: refusals that grow over days until a process is restarted.
@@ -33,4 +33,4 @@
         sent_at_ms = round(now_ms * (1 - 100e-6))
         offset.observe(sent_at_ms, now_ms + TRANSIT_MS)
     deadline_at_ms = sent_at_ms + 1_000
-    assert 980 <= offset.to_own(deadline_at_ms) - now_ms <= 1_010
+    assert 980 <= offset.to_local(deadline_at_ms) - now_ms <= 1_010
--- a/tests/stack/test_frame.py
+++ b/tests/stack/test_frame.py
@@ -49,7 +49,7 @@
 )
 
 
-def test_every_frame_comes_back_as_it_was() -> None:
+def test_every_frame_round_trips() -> None:
     """Encoding and decoding are inverse for every kind of frame."""
     splitter = frame.Splitter()
     data = b"".join(frame.encode(9, body) for body in _BODIES)
@@ -89,7 +89,7 @@
     _flipped_byte()
 
 
-def test_oversized_and_wrong_frames_are_refused() -> None:
+def test_oversized_and_malformed_frames_are_rejected() -> None:
     """Sizes and ids are checked before anything is done with a frame."""
     splitter = frame.Splitter(max_frame_bytes=100)
     failure = splitter.feed((101).to_bytes(4, "little"))
--- a/tests/stack/test_imports.py
+++ b/tests/stack/test_imports.py
@@ -8,7 +8,7 @@
 PACKAGES = pathlib.Path(__file__).parents[2] / "packages"
 # Modules of the own interface that still name each other's classes for type
 # checkers. Nothing may join them.
-KNOWN_CIRCLES = (
+KNOWN_IMPORT_CYCLES = (
     {"radishd.entry", "radishd.request.caller"},
     {
         "radishd.target",
@@ -41,7 +41,7 @@
     return found & _modules().keys()
 
 
-def test_no_circle_of_imports_is_added() -> None:
+def test_no_import_cycle_is_added() -> None:
     """Symptom: a change to a request must be read beside the whole gateway.
 
     Sequence: the gateway makes a request, and the request's module imports
@@ -50,7 +50,9 @@
     """
     graph = {}
     for name, path in _modules().items():
-        known = set().union(*(one for one in KNOWN_CIRCLES if name in one))
+        known = set().union(
+            *(one for one in KNOWN_IMPORT_CYCLES if name in one)
+        )
         graph[name] = _imports(path) - known - {name}
     try:
         graphlib.TopologicalSorter(graph).prepare()
--- a/tests/stack/test_pages.py
+++ b/tests/stack/test_pages.py
@@ -81,7 +81,7 @@
                 assert name in modules, f"{path}: {name}"
 
 
-def test_dependencies_point_to_what_lives_as_long_or_longer() -> None:
+def test_modules_import_only_equal_or_longer_life_spans() -> None:
     """A module of a life span imports no module of a shorter one.
 
     Modules at the top of a package hold several life spans together and may
--- a/tests/stack/test_target.py
+++ b/tests/stack/test_target.py
@@ -30,7 +30,7 @@
         random_source=random.Random(1),
         budget=load_budget.BudgetSettings(1_000.0, 100.0),
     )
-    held = holder_lib.Held(1, "w1", scene.first_document())
+    held = holder_lib.HeldVersion(1, "w1", scene.first_document())
     target.handle(event_lib.VersionActivated(held), 0)
     if engine:
         seen = event_lib.EngineObserved("1", frozenset(), 0)
