--- a/packages/radishstack/src/radishstack/connection/__init__.py
+++ b/packages/radishstack/src/radishstack/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection between two processes."""
+"""State and types that belong to one connection between two processes."""
--- a/packages/radishstack/src/radishstack/connection/clock_offset.py
+++ b/packages/radishstack/src/radishstack/connection/clock_offset.py
@@ -1,31 +1,31 @@
-"""The difference between a peer's monotonic clock and this one."""
+"""The offset between a peer's monotonic clock and the local one."""
 
 WINDOW_MS = 60_000
 
 
 class ClockOffset:
-    """The smallest transit seen lately tells the offset of two clocks.
+    """Estimates the offset between two clocks from the smallest transit time.
 
-    A frame that was held up on its way shows a larger difference than the
-    smallest, so its age is seen and its deadline is not prolonged. Clocks
-    drift, some seconds in a day, and a connection may last for days; so only
-    the last one to two windows count, or deadlines would shrink with it.
+    A delayed frame shows a larger difference than the smallest one, so its age
+    is known and its deadline is not extended. Only the last one to two windows
+    are used: clocks drift by some seconds a day and a connection can last for
+    days, so with an older minimum deadlines would shrink.
     """
 
     __slots__ = ("_previous_min_ms", "_window_min_ms", "_window_start_ms")
 
     def __init__(self) -> None:
-        """Starts with no estimate."""
+        """Creates an offset without an estimate."""
         self._window_min_ms: int | None = None
         self._previous_min_ms: int | None = None
         self._window_start_ms = 0
 
     def observe(self, sent_at_ms: int, now_ms: int) -> None:
-        """Learns from a frame's times.
+        """Updates the estimate with the times of a frame.
 
         Args:
-            sent_at_ms: When it was sent, on the peer's clock.
-            now_ms: When it arrived, on this one.
+            sent_at_ms: Send time on the peer's clock.
+            now_ms: Arrival time on the local clock.
         """
         difference_ms = now_ms - sent_at_ms
         if (
@@ -38,14 +38,14 @@
         self._window_min_ms = min(self._window_min_ms, difference_ms)
 
     def to_local(self, at_ms: int) -> int:
-        """Converts a time on the peer's clock to this one.
+        """Converts a time on the peer's clock to the local clock.
 
         Args:
-            at_ms: The time; a frame must have been observed before.
+            at_ms: The time; at least one frame must have been observed.
 
         Returns:
-            The time here, later than it truly was by the smallest transit
-            and by what the clocks drifted apart within two windows.
+            The local time. It is late by the smallest transit time and by the
+            clock drift within two windows.
         """
         if self._previous_min_ms is None:
             return at_ms + self._window_min_ms
--- a/packages/radishstack/src/radishstack/connection/fleet.capnp
+++ b/packages/radishstack/src/radishstack/connection/fleet.capnp
@@ -1,7 +1,6 @@
 @0xd3c1a4be57f0920b;
-# Datagrams between a gateway and the process beside an engine, and between
-# gateways. Every field keeps its number; a peer one version older passes over
-# fields it does not know.
+# Datagrams between gateways and sidecars, and between gateways. Fields keep
+# their numbers; a peer one version older ignores unknown fields.
 
 struct FleetDatagram {
   union {
@@ -34,8 +33,9 @@
 }
 
 struct Holding {
-  # A base model, and adapters of it; the base model's name is told once, as it
-  # would be half of every word. Versions are in the order of the names.
+  # A base model and its adapters. The base model's name is sent once, because
+  # repeated for each adapter it would be half of every message. Versions are in
+  # the order of the adapters.
   base @0 :Text;
   isResident @1 :Bool;
   version @2 :UInt32;
@@ -50,7 +50,7 @@
   baseModels @3 :List(Text);
   uses @4 :List(Use);
   wants @5 :List(Want);
-  # Announced versions of what the engine holds in an older one.
+  # Announced versions of adapters that the engine holds in an older version.
   announced @6 :List(Versioned);
   peerAddress @7 :Text;
 }
@@ -61,28 +61,29 @@
   queued @2 :UInt16;
   residents @3 :List(Holding);
   pending @4 :List(Holding);
-  # Some of the gateways that are told, others with each word.
+  # Some of the gateways that receive updates, different ones in each update.
   peerAddresses @5 :List(Text);
   loadWaitMs @6 :UInt32;
   loadGapMs @7 :UInt16;
   loadInTimeMs @8 :UInt32;
   fetchMs @9 :UInt32;
-  # Births of the start that this tells of and of the one before it, 0 if not
-  # known.
+  # Start times of the engine's incarnation and of the previous one, 0 if
+  # unknown.
   bornMs @10 :UInt64;
   formerBornMs @11 :UInt64;
-  # Within what time the reader is told again, and how many gateways are told.
+  # Time within which the next update is sent, and the number of gateways that
+  # receive updates.
   nextMs @12 :UInt16;
   gatewayCount @13 :UInt16;
-  # Adapters that the engine held last and does not any more.
+  # Adapters that the engine held until recently, the most recent last.
   recent @14 :List(Holding);
-  # Whether the engine says that it leaves.
+  # Whether the engine reports that it is draining.
   leaving @15 :Bool;
 }
 
 struct Observation {
-  # A start of a target that ended while it ran a request. Times are told as
-  # ages, since every VM counts from its own start.
+  # An incarnation of a target that crashed while it ran a request. Times are
+  # sent as ages, because the clock of each VM counts from its own boot.
   target @0 :Text;
   bornMs @1 :UInt64;
   beganAgoMs @2 :UInt64;
@@ -92,20 +93,20 @@
 struct CrashRecord {
   fingerprint @0 :Data;
   observations @1 :List(Observation);
-  # Whether an equal request has ended well, and how long ago.
+  # Whether an equal request succeeded, and how long ago.
   isCleared @2 :Bool;
   clearedAgoMs @3 :UInt64;
 }
 
 struct CrashReport {
   records @0 :List(CrashRecord);
-  # Whether the reader is to tell what it knows.
+  # Whether the receiver should report its own records.
   asks @1 :Bool;
 }
 
 struct UsageAsk {
-  # A gateway asks another one for a part of its part of a client account's
-  # usage cap. Costs are in units of the cap.
+  # A loan request: a gateway asks another one to lend some of its share of a
+  # client account's usage cap. Costs are in units of the cap.
   account @0 :Text;
   number @1 :UInt32;
   need @2 :Float64;
@@ -116,7 +117,7 @@
   account @0 :Text;
   number @1 :UInt32;
   amount @2 :Float64;
-  # What the lender could still lend.
+  # Spare capacity that the lender has left to lend.
   room @3 :Float64;
 }
 
--- a/packages/radishstack/src/radishstack/connection/fleet_wire.py
+++ b/packages/radishstack/src/radishstack/connection/fleet_wire.py
@@ -1,8 +1,8 @@
-"""Datagrams between gateways and the processes beside engines, typed.
+"""Typed datagrams between gateways and sidecars, and between gateways.
 
-Both sides repeat their word several times a second, so a lost datagram costs
-a moment of freshness and nothing else. Gateways tell each other of crashes;
-what several crashes have in common they tell again.
+Gateways repeat their demand and sidecars their status updates several times a
+second, so a lost datagram only makes the state slightly older. Gateways report
+crashes to each other, and repeat the reports of requests with several crashes.
 """
 
 from collections.abc import Mapping
@@ -22,10 +22,10 @@
 from radishstack.process import usage_loan
 
 MAX_DATAGRAM_BYTES = 32 * 1024
-# One datagram carries at most this many entries of a list; the sender counts
-# and logs what is left out.
+# Maximum entries of a list in one datagram; the sender counts and logs the
+# omitted ones.
 MAX_ENTRIES = 256
-# The largest count and time that a field of sixteen bits holds.
+# The largest count or time that fits in a 16-bit field.
 MAX_COUNT = 0xFFFF
 
 _wire = capnp.load(str(pathlib.Path(__file__).with_name("fleet.capnp")))
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemandDatagram:
-    """A gateway's demand and where its peers reach it."""
+    """A gateway's demand and the address for its peers."""
 
     demand: adapter_keeper.Demand
     peer_address: str
@@ -41,25 +41,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusUpdate:
-    """An engine's state, in the word of the process beside it.
+    """The state of an engine, sent by its sidecar.
 
     Attributes:
-        instance: Start of the engine.
-        running: Requests that run.
-        queued: Requests that wait.
-        residents: Versions of what it holds, by adapter.
-        pending: Adapters that are loaded or will be.
-        peer_addresses: Some of the gateways that this process hears; others
-            with each word.
-        load_wait: How long a load takes now.
-        born_ms: Birth of that start, 0 if it is not told.
-        former_born_ms: Birth of the start that this process saw before it,
-            0 if it saw none.
-        next_ms: Within what time the reader is told again, 0 if not told.
-        gateway_count: How many gateways this process hears.
-        recent: Adapters that the engine held last and does not any more, the
-            one held last at the end.
-        leaving: Whether the engine says that it leaves.
+        instance: Incarnation of the engine, by its instance name.
+        running: Running requests.
+        queued: Queued requests.
+        residents: Loaded versions by adapter.
+        pending: Adapters that are being loaded or are queued for it.
+        peer_addresses: Some of the gateways that send demand to this sidecar,
+            different ones in each update.
+        load_wait: How long loads take now.
+        born_ms: Start time of the engine's incarnation, 0 if unknown.
+        former_born_ms: Start time of the previous incarnation that this
+            sidecar observed, 0 if there is none.
+        next_ms: Time within which the next update is sent, 0 if unknown.
+        gateway_count: Number of gateways that send demand to this sidecar.
+        recent: Adapters that the engine held until recently, the most recent
+            last.
+        leaving: Whether the engine reports that it is draining.
     """
 
     instance: str
@@ -79,12 +79,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedObservation:
-    """One crash with a request running, in a word between gateways.
+    """A crash at which a request was running, in a report between gateways.
 
     Attributes:
-        start: The start of a target that ended.
-        began_ago_ms: How long ago the request was sent there.
-        ended_ago_ms: How long ago the target ended.
+        incarnation_id: The incarnation of a target that crashed.
+        began_ago_ms: Time since the request was sent to the target.
+        ended_ago_ms: Time since the target crashed.
     """
 
     incarnation_id: incarnation.IncarnationId
@@ -94,13 +94,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedRecord:
-    """What is known against one request, in a word between gateways.
+    """The evidence about one request, in a report between gateways.
 
     Attributes:
-        fingerprint: The request's.
-        observations: Crashes with it running.
-        cleared_ago_ms: How long ago an equal request ended well, None if
-            none has.
+        fingerprint: Fingerprint of the request.
+        observations: Crashes at which it was running.
+        cleared_ago_ms: Time since an equal request succeeded, None if none
+            did.
     """
 
     fingerprint: str
@@ -110,11 +110,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Crashes, in the word of one gateway to others.
+    """Reports the crash evidence of one gateway to others.
 
     Attributes:
-        records: What is known against requests.
-        asks: Whether the reader is to tell what it knows.
+        records: The evidence about requests.
+        asks: Whether the receiver should report its own records.
     """
 
     records: tuple[ReportedRecord, ...] = ()
@@ -126,10 +126,10 @@
     """Reports the rate limit in a target's response to other gateways.
 
     Attributes:
-        start: The start of the target.
+        incarnation_id: The incarnation of the target.
         limit_per_s: Requests per second from all gateways together,
             ``UNLIMITED_PER_S`` if the response has no limit.
-        ago_ms: How long ago the response was received.
+        ago_ms: Time since the response was received.
     """
 
     incarnation_id: incarnation.IncarnationId
@@ -149,7 +149,7 @@
 def to_reported_record(
     record: crash_evidence.Record, now_ms: int
 ) -> ReportedRecord:
-    """Returns a record with ages in place of times of this VM's clock."""
+    """Converts a record's times on this VM's clock to ages."""
     cleared_at_ms = record.cleared_at_ms
     is_cleared = cleared_at_ms != crash_evidence.NEVER_MS
     return ReportedRecord(
@@ -169,7 +169,7 @@
 def from_reported_record(
     reported: ReportedRecord, now_ms: int
 ) -> crash_evidence.Record:
-    """Returns a record with times of this VM's clock in place of ages."""
+    """Converts a record's ages to times on this VM's clock."""
     cleared_at_ms = crash_evidence.NEVER_MS
     if reported.cleared_ago_ms is not None:
         cleared_at_ms = now_ms - reported.cleared_ago_ms
@@ -188,7 +188,7 @@
 
 
 def omitted_count(datagram: DemandDatagram) -> int:
-    """Returns how many entries of a demand do not fit into its datagram."""
+    """Returns the number of demand entries that do not fit in a datagram."""
     demand = datagram.demand
     lists = (demand.uses, demand.wants, demand.announced)
     return sum(max(0, len(one) - MAX_ENTRIES) for one in lists)
@@ -341,10 +341,10 @@
     """Decodes a datagram.
 
     Args:
-        data: What arrived.
+        data: The received bytes.
 
     Returns:
-        The datagram, or why it is none.
+        The datagram, or why it is invalid.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         return result.Failure(result.FRAME_TOO_LARGE, f"{len(data)} bytes")
--- a/packages/radishstack/src/radishstack/connection/frame.py
+++ b/packages/radishstack/src/radishstack/connection/frame.py
@@ -1,7 +1,7 @@
-"""Frames between our processes: checked, typed, one codec.
+"""The codec for typed frames and datagrams between processes.
 
-A frame on a stream socket is a little-endian length of four bytes and one
-Cap'n Proto message. Datagrams are one message each.
+A frame on a stream socket is a four-byte little-endian length and one Cap'n
+Proto message. A datagram is one message. Decoding validates both.
 """
 
 import dataclasses
@@ -24,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """First frame of each side.
+    """The first frame that each side of a connection sends.
 
     Attributes:
-        process: 8 random bytes of the sending process.
-        version: Configuration version it holds.
-        sent_at_ms: Its monotonic clock.
+        process: 8 random bytes that identify the sending process.
+        version: Configuration version that it holds.
+        sent_at_ms: Send time on its monotonic clock.
     """
 
     process: bytes
@@ -39,7 +39,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submit:
-    """Asks a target process to run an attempt; times on the sender's clock."""
+    """Asks a target process to run an attempt.
+
+    Times are on the sender's clock.
+    """
 
     attempt_id: bytes
     request_id: str
@@ -61,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attach:
-    """Resumes an attempt's run at a chunk, on another connection."""
+    """Resumes an attempt on another connection, from a given chunk."""
 
     attempt_id: bytes
     next_number: int
@@ -69,14 +72,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The target answered; chunks follow.
+    """The start of a response, which is followed by its chunks.
 
     Attributes:
         status: HTTP status.
         content_type: Content type.
-        load: The target's word on itself.
-        adapter: What ran, ``name@version``; the answer kept for a key may
-            be of an earlier version than its resubmission asked for.
+        load: The load that the target reports.
+        adapter: The adapter that ran, ``name@version``. A response stored for
+            an idempotency key may be from an earlier version than a retry
+            requested.
     """
 
     status: int
@@ -87,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """One piece of the answer."""
+    """A chunk of the response."""
 
     number: int
     payload: bytes
@@ -95,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """The explicit end; ``code`` 0 means whole."""
+    """The explicit end of a response; ``code`` 0 means that it is complete."""
 
     total: int
     code: int
@@ -104,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The attempt got no answer here, with the numbered reason."""
+    """Reports that an attempt got no response here, with the result code."""
 
     code: int
     message: str
@@ -115,24 +119,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ack:
-    """Chunks before this number have arrived."""
+    """Acknowledges the chunks before a number."""
 
     acked: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """The caller has left."""
+    """Cancels an attempt because its caller disconnected."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Seal:
-    """Asks a former home never to run a key that it has not run.
+    """Asks a former target never to run a key that it has not run yet.
 
     Attributes:
         service: The service.
         key: The idempotency key.
-        asker: Name of the target that wants to run it.
+        asker: Name of the target that is to run it.
     """
 
     service: str
@@ -142,7 +146,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sealed:
-    """A former home's word on a key; see ``ledger.Sealing``."""
+    """A former target's reply to a seal request; see ``ledger.SealReply``."""
 
     answer: int
 
@@ -157,12 +161,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Digest:
-    """Tells a peer which version is held, over UDP.
+    """Reports the configuration version that a process holds, over UDP.
 
     Attributes:
         version: Configuration version held.
-        reply: Whether this answers another digest.
-        leaving: Targets heard to be leaving.
+        reply: Whether this is a reply to another digest.
+        leaving: Names of targets reported as draining.
     """
 
     version: int
@@ -172,14 +176,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PushedCommit:
-    """Brings a peer one version forward, over UDP."""
+    """Sends a peer the commit of its next version, over UDP."""
 
     data: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fetch:
-    """Asks a target process for the whole document it holds."""
+    """Requests the whole document that a target process holds."""
 
 
 Body = (
@@ -209,18 +213,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Datagram:
-    """One datagram; the nonce ties a report to its probe."""
+    """A datagram; the nonce matches a report to its probe."""
 
     nonce: int
     body: DatagramBody
 
 
 def encode(stream: int, body: Body) -> bytes:
-    """Encodes a frame with its length.
+    """Encodes a frame with its length prefix.
 
     Args:
         stream: Stream id.
-        body: What it says.
+        body: The body.
 
     Returns:
         The bytes for the socket.
@@ -232,7 +236,7 @@
 
 
 def encode_chunk(stream: int, number: int, payload: bytes) -> bytes:
-    """Encodes a chunk frame; the hot path, without a ``Chunk`` in between."""
+    """Encodes a chunk frame on the hot path, without creating a ``Chunk``."""
     message = _wire.Frame.new_message(stream=stream)
     chunk = message.init("chunk")
     chunk.number = number
@@ -333,13 +337,13 @@
 
 
 def decode(data: bytes) -> result.Outcome[Frame]:
-    """Decodes and checks the message of one frame.
+    """Decodes and validates the message of one frame.
 
     Args:
-        data: The message, without its length.
+        data: The message, without its length prefix.
 
     Returns:
-        The frame, or why the connection must end.
+        The frame, or why the connection must be closed.
     """
     try:
         with _wire.Frame.from_bytes(
@@ -367,12 +371,12 @@
 
 
 class Splitter:
-    """Cuts a byte stream into the messages of its frames."""
+    """Splits a byte stream into the messages of its frames."""
 
     __slots__ = ("_buffer", "max_frame_bytes")
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Starts with no bytes."""
+        """Creates a splitter with an empty buffer."""
         self._buffer = bytearray()
         self.max_frame_bytes = max_frame_bytes
 
@@ -383,7 +387,7 @@
             data: The bytes.
 
         Returns:
-            The messages that are complete, or why the connection must end.
+            The complete messages, or why the connection must be closed.
         """
         buffer = self._buffer
         buffer += data
@@ -408,7 +412,7 @@
 
 
 def encode_datagram(nonce: int, body: DatagramBody) -> bytes:
-    """Encodes a datagram, packed since most of it is zeros."""
+    """Encodes a datagram, packed because most of its bytes are zero."""
     message = _wire.Datagram.new_message(nonce=nonce)
     match body:
         case Probe():
@@ -432,7 +436,7 @@
         data: The datagram.
 
     Returns:
-        The datagram, or why it is passed over.
+        The datagram, or why it is ignored.
     """
     try:
         message = _wire.Datagram.from_bytes_packed(data)
--- a/packages/radishstack/src/radishstack/connection/wire.capnp
+++ b/packages/radishstack/src/radishstack/connection/wire.capnp
@@ -1,6 +1,6 @@
 @0xbf5147cbbecf40c1;
-# Messages between the processes of radishstack. Every field keeps its number;
-# a peer one version older passes over fields it does not know.
+# Messages between the processes of radishstack. Fields keep their numbers; a
+# peer one version older ignores unknown fields.
 
 struct Frame {
   stream @0 :UInt64;
@@ -84,7 +84,7 @@
 }
 
 struct Sealed {
-  # What the asked ledger knows: 0 sealed now, 1 ran, 2 cannot know.
+  # Reply of the former target's ledger: 0 sealed, 1 already ran, 2 unknown.
   answer @0 :UInt8;
 }
 
--- a/packages/radishstack/src/radishstack/version/__init__.py
+++ b/packages/radishstack/src/radishstack/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the configuration."""
+"""State and types that belong to one version of the configuration."""
--- a/packages/radishstack/src/radishstack/version/checks.py
+++ b/packages/radishstack/src/radishstack/version/checks.py
@@ -1,4 +1,4 @@
-"""Types and problems that the document and the settings share."""
+"""Field types and validation problems for the document and the settings."""
 
 import dataclasses
 import enum
@@ -16,7 +16,7 @@
 
 
 class TargetKind(enum.StrEnum):
-    """What stands behind a target process."""
+    """What a target process serves: a model engine or a plain service."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -24,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing wrong with a document or with settings.
+    """One validation error in a document or in settings.
 
     Attributes:
-        path: Where, for example ``services.booking.timeout_ms``.
-        value: What stands there, shortened.
-        mend: What to write instead.
+        path: Path of the value, for example ``services.booking.timeout_ms``.
+        value: The invalid value, shortened.
+        fix: How to correct the value.
     """
 
     path: str
@@ -37,7 +37,7 @@
     fix: str
 
     def __str__(self) -> str:
-        """One line for a person."""
+        """Returns the problem as one readable line."""
         return f"{self.path}: {self.value}: {self.fix}"
 
 
@@ -48,7 +48,7 @@
 
 
 def explain(error: pydantic.ValidationError) -> tuple[Problem, ...]:
-    """Turns a validation error into problems with path, value and mend."""
+    """Converts a pydantic error to problems with path, value and fix."""
     return tuple(_explain_one(detail) for detail in error.errors())
 
 
--- a/packages/radishstack/src/radishstack/version/client_account.py
+++ b/packages/radishstack/src/radishstack/version/client_account.py
@@ -7,7 +7,7 @@
 
 from radishstack.process import usage_cap
 
-# What a request without credentials has in place of a key's digest.
+# Stands for the key digest in a request without credentials.
 NO_KEY = b""
 
 
@@ -16,11 +16,11 @@
     """One client account.
 
     Attributes:
-        name: Its name, which targets are told.
-        priority: Rank of its requests, 0 the most urgent; None leaves it to
-            the route.
-        cap: Its usage cap, None if its use is not limited.
-        key_count: How many API keys it has.
+        name: Its name, which is sent to targets.
+        priority: Priority of its requests, 0 the most urgent; None to use the
+            route's.
+        cap: Its usage cap, None if its usage is unlimited.
+        key_count: Number of its API keys.
     """
 
     name: str
@@ -33,12 +33,12 @@
 class Directory:
     """All client accounts, found by API key.
 
-    Keys are kept as digests only, so that neither memory nor a report of the
-    directory reveals one.
+    Keys are stored as digests only, so neither memory nor a report of the
+    directory reveals a key.
 
     Attributes:
         accounts: Accounts by name.
-        names_by_digest: Name of the account that holds a key, by the key's
+        names_by_digest: Name of the account that owns a key, by the key's
             digest.
     """
 
@@ -46,13 +46,13 @@
     names_by_digest: Mapping[bytes, str] = dataclasses.field(repr=False)
 
     def find(self, key_digest: bytes) -> ClientAccount | None:
-        """Returns the account that holds a key, None if none does."""
+        """Returns the account that owns a key, or None."""
         name = self.names_by_digest.get(key_digest)
         return None if name is None else self.accounts[name]
 
 
 def digest_of(key: bytes) -> bytes:
-    """Returns the digest under which an API key is kept."""
+    """Returns the digest under which an API key is stored."""
     return hashlib.sha256(key).digest()
 
 
@@ -63,11 +63,11 @@
 
     Args:
         entries: Accounts with the digests of their keys. Of two accounts
-            with one name, the later one counts.
+            with the same name, the later one is used.
 
     Returns:
-        The directory, and the digests that several accounts claim. Such a
-        key admits nobody: whose requests it would bring is not known.
+        The directory, and the digests that several accounts list. These keys
+        are rejected, because the account of a request would be ambiguous.
     """
     accounts: dict[str, ClientAccount] = {}
     owners: dict[bytes, str] = {}
--- a/packages/radishstack/src/radishstack/version/commit.py
+++ b/packages/radishstack/src/radishstack/version/commit.py
@@ -1,9 +1,9 @@
-"""What the object API keeps: a root, commits and snapshots.
+"""Objects in the store: a root, commits and snapshots.
 
 The root is the only object that is ever updated. It names the commits since
-the last snapshot, so a follower reads only what it lacks, and it moves by a
-conditional update, which is the moment a change is accepted. A commit holds
-its operations and its audit record, so neither can exist without the other.
+the last snapshot, so a follower reads only those that it lacks. A change is
+accepted by a conditional update of the root. A commit contains its operations
+and its audit record, so neither can exist without the other.
 """
 
 import dataclasses
@@ -26,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditRecord:
-    """Who changed what, when, on which version and why.
+    """Who made a change, when, on which base version and why.
 
     Attributes:
-        operator: Who.
-        at_ms: When, Unix time.
-        base_version: The version the operator looked at.
-        reason: Why.
+        operator: Name of the operator.
+        at_ms: Time of the change, Unix time.
+        base_version: The version that the change was prepared on.
+        reason: The operator's reason.
     """
 
     operator: str
@@ -46,11 +46,11 @@
     """One accepted change.
 
     Attributes:
-        write_id: Chosen by the writer; finds its write again when the answer
-            to it was lost.
-        version: The version it makes.
-        parent_id: Write id of the commit before it, empty for the first.
-        operations: What it changes.
+        write_id: Unique id from the writer, which finds its write in the store
+            if the response to it was lost.
+        version: The version that it creates.
+        parent_id: Write id of the previous commit, empty for the first.
+        operations: The changes, in order.
         audit: Its audit record.
     """
 
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Root:
-    """Which version is in force.
+    """The root object, which names the version in force.
 
     Attributes:
         version: The version in force, 0 before the first change.
@@ -120,7 +120,7 @@
 
 
 def advance(root: Root, commit: Commit) -> Root:
-    """Returns the root that puts a commit in force."""
+    """Returns the root with a commit as the version in force."""
     return dataclasses.replace(
         root,
         version=commit.version,
@@ -130,18 +130,18 @@
 
 
 def snapshot_is_due(root: Root) -> bool:
-    """Whether enough commits have gathered for a new snapshot."""
+    """Whether enough commits have accumulated for a new snapshot."""
     return len(root.recent) >= SNAPSHOT_INTERVAL
 
 
 def encode_snapshot(
     document: document_lib.Document, write_id: str
 ) -> dict[str, bytes]:
-    """Cuts a document into parts below the store's value limit.
+    """Splits a document into parts below the store's value limit.
 
     Args:
         document: The document.
-        write_id: Write id of its commit; the parts are named by it.
+        write_id: Write id of its commit, part of the names of the parts.
 
     Returns:
         The parts by object name, in order.
@@ -161,7 +161,7 @@
 def decode_snapshot(
     parts: list[bytes],
 ) -> result.Outcome[document_lib.Document]:
-    """Puts a document together from its parts."""
+    """Joins and decodes the parts of a document."""
     try:
         raw: Any = json.loads(b"".join(parts))
     except ValueError as error:
@@ -173,14 +173,14 @@
 
 
 def compact(root: Root, parts: tuple[str, ...]) -> Root:
-    """Returns the root that names a snapshot of its own version.
+    """Returns the root with a snapshot of its version and no recent commits.
 
     Args:
-        root: The root as it is.
-        parts: The snapshot's object names.
+        root: The current root.
+        parts: Object names of the snapshot's parts.
 
     Returns:
-        The same version, read from a snapshot.
+        The root of the same version, which is read from the snapshot.
     """
     return dataclasses.replace(
         root,
--- a/packages/radishstack/src/radishstack/version/document.py
+++ b/packages/radishstack/src/radishstack/version/document.py
@@ -1,4 +1,4 @@
-"""The document: one deployment's customers, services, adapters and targets."""
+"""The document: customers, services, adapters and targets of a deployment."""
 
 import dataclasses
 import enum
@@ -30,7 +30,7 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What a service's requests run on."""
+    """Whether a service runs on model engines or plain services."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -46,12 +46,12 @@
 
 @_entity()
 class Customer:
-    """Whose requests share the targets fairly.
+    """A customer, whose requests get a fair share of the targets.
 
     Attributes:
         name: Unique name.
         share: Weight of its fair share, relative to the other customers.
-        max_in_flight: Bound on its requests at one target, queued or running.
+        max_in_flight: Limit on its requests at one target, queued or running.
     """
 
     name: checks.Name
@@ -65,7 +65,7 @@
 
     Attributes:
         version: Number, unique within the adapter.
-        source: Where the weight store keeps it.
+        source: Location in the weight store.
     """
 
     version: Annotated[int, pydantic.Field(ge=1)]
@@ -78,10 +78,10 @@
 
     Attributes:
         name: Unique name.
-        service: The service its requests belong to.
+        service: The service that serves it.
         base_model: The base model it was trained on.
         versions: Its versions.
-        current: The version a request without one gets.
+        current: The version for requests that name none.
     """
 
     name: checks.Name
@@ -98,9 +98,9 @@
     """An engine or a plain service, behind its target process.
 
     Attributes:
-        name: Unique name; a replaced VM keeps the name of its slot.
+        name: Unique name; the replacement of a VM keeps the name.
         kind: Engine or plain service.
-        address: Where its target process listens, ``ip:port``.
+        address: Listen address of its target process, ``ip:port``.
         failure_domain: ``region/domain``.
         base_model: The engine's base model.
     """
@@ -114,24 +114,25 @@
 
 @_entity()
 class Service:
-    """What callers call.
+    """A service that callers send requests to.
 
     Attributes:
         name: Unique name.
-        customer: Whose it is.
+        customer: The customer that owns it.
         kind: Model or plain.
         targets: Names of the targets that may run it.
-        adapter: Adapter of requests that name only the service.
+        adapter: Adapter for requests that name only the service.
         idempotent: Whether a request may run more than once.
         priority: Priority class.
-        stall_weight: How dear a load stall is against a wait in a queue, 0
-            to 1.
-        warm: Adapters to keep resident on their first ``warm_targets``.
-        warm_targets: On how many targets a warm adapter is kept.
+        stall_weight: Cost of waiting for an adapter load relative to waiting
+            in a queue, 0 to 1.
+        warm: Adapters to keep resident on their first ``warm_targets`` targets.
+        warm_targets: Number of targets that keep a warm adapter resident.
         timeout_ms: Deadline of a request that names none.
-        max_timeout_ms: Longest deadline a caller may ask for.
-        max_queued: Bound on its queued requests at one target.
-        retry_window_ms: How long a key is remembered after it ran.
+        max_timeout_ms: Longest deadline that a caller may set.
+        max_queued: Limit on its queued requests at one target.
+        retry_window_ms: How long an idempotency key is kept after its request
+            ran.
     """
 
     name: checks.Name
@@ -156,8 +157,8 @@
 class Rule:
     """Sends some of a service's requests to an adapter.
 
-    Rules of a service are tried by ascending ``position``; the first that
-    matches decides.
+    Rules of a service are evaluated by ascending ``position``; the first match
+    applies.
 
     Attributes:
         name: Unique name.
@@ -165,9 +166,9 @@
         position: Order among the service's rules.
         header: Lower-case request header that must equal ``equals``.
         equals: The value the header must have.
-        share: Share of the remaining requests it takes, by request id.
-        adapter: The adapter it sends them to.
-        version: The version, or the adapter's current one.
+        share: Share of the remaining requests that it matches, by request id.
+        adapter: The adapter that serves the matched requests.
+        version: The adapter version, None for the adapter's current one.
     """
 
     name: checks.Name
@@ -184,11 +185,11 @@
 
 @_entity()
 class Placement:
-    """Targets that a service had until a version replaced them.
+    """The targets of a service before a version replaced them.
 
     Attributes:
         targets: The former targets.
-        until_version: The version from which they were no longer in force.
+        until_version: The version that replaced them.
         until_at_ms: When that version was accepted, Unix time.
     """
 
@@ -199,16 +200,16 @@
 
 @_entity()
 class Document:
-    """One whole deployment; immutable, a change makes a new one.
+    """The configuration of a deployment; immutable, a change creates a new one.
 
     Attributes:
-        customers: By name, as are the others.
+        customers: Customers by name; the other entities are by name too.
         services: Services.
         adapters: Adapters.
         targets: Targets.
         rules: Rules.
         placements: Former targets of non-idempotent services, newest last;
-            kept by the system, not by operators.
+            maintained by the system, not by operators.
     """
 
     customers: dict[checks.Name, Customer] = dataclasses.field(
@@ -243,16 +244,16 @@
 
 
 def parse(raw: object) -> Document | tuple[checks.Problem, ...]:
-    """Builds a document from plain data and checks it as a whole.
+    """Builds a document from plain data and validates it.
 
     Entities may be given as lists, as the console writes them, or as
     mappings by name.
 
     Args:
-        raw: What a YAML or JSON parser returned.
+        raw: Parsed YAML or JSON.
 
     Returns:
-        The document, or every problem found.
+        The document, or all problems found.
     """
     if not isinstance(raw, dict):
         return (
@@ -300,13 +301,13 @@
 
 
 def check(document: Document) -> list[checks.Problem]:
-    """Checks what no single entity shows: references and dead rules.
+    """Checks references between entities and finds unreachable rules.
 
     Args:
-        document: A document whose entities are valid each.
+        document: A document whose entities are each valid.
 
     Returns:
-        Every problem, empty if there is none.
+        All problems found.
     """
     problems: list[checks.Problem] = []
     for kind in KINDS:
@@ -326,7 +327,7 @@
 
 @functools.singledispatch
 def check_entity(entity: object, document: Document) -> list[checks.Problem]:
-    """Checks one entity's references into the document."""
+    """Checks one entity's references to others in the document."""
     del entity, document
     return []
 
@@ -527,7 +528,7 @@
 
 
 def rules_of(document: Document, service: str) -> list[Rule]:
-    """Returns a service's rules in the order they are tried."""
+    """Returns a service's rules in evaluation order."""
     rules = [
         rule for rule in document.rules.values() if rule.service == service
     ]
@@ -560,7 +561,7 @@
 
 
 def to_plain(document: Document) -> dict[str, Any]:
-    """Renders a document as plain data, entities as lists by name."""
+    """Returns a document as plain data, with entities as sorted lists."""
     plain = _DOCUMENT.dump_python(document, mode="json", exclude_none=True)
     return {
         kind: [value[name] for name in sorted(value)]
@@ -573,12 +574,12 @@
 def placements_to_plain(
     placements: dict[str, tuple[Placement, ...]],
 ) -> dict[str, Any]:
-    """Renders the former placements as plain data."""
+    """Returns former placements as plain data."""
     return _PLACEMENTS.dump_python(placements, mode="json")
 
 
 def json_schema() -> dict[str, Any]:
-    """Returns the JSON Schema that the console's forms are made from."""
+    """Returns the JSON Schema from which the console builds its forms."""
     schema = _DOCUMENT.json_schema()
     properties = schema["properties"]
     properties.pop("placements", None)
--- a/packages/radishstack/src/radishstack/version/holder.py
+++ b/packages/radishstack/src/radishstack/version/holder.py
@@ -1,4 +1,4 @@
-"""The version a process holds: it only grows."""
+"""The version that a process holds, which only increases."""
 
 import dataclasses
 
@@ -11,10 +11,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldVersion:
-    """One version, held by whoever works on it for as long as it does.
+    """One version with its document.
+
+    Each task keeps its reference until it is done with the version.
 
     Attributes:
-        version: Its number.
+        version: Version number.
         write_id: Write id of its commit.
         document: The document.
     """
@@ -28,28 +30,28 @@
 
 
 class Holder:
-    """Holds the newest version this process has seen."""
+    """Holds the newest version that this process received."""
 
     def __init__(self, held: HeldVersion = EMPTY) -> None:
-        """Starts from a version, by default from none."""
+        """Starts with a version, by default an empty one."""
         self._held = held
 
     @property
     def held(self) -> HeldVersion:
-        """The version in force here."""
+        """The version in force in this process."""
         return self._held
 
     def offer(self, held: HeldVersion) -> bool:
-        """Applies a whole version if it is newer.
+        """Replaces the version held if the given one is newer.
 
-        An old answer of a watch, or a peer that lags, may offer an older
-        one; it is passed over.
+        A delayed watch response or an outdated peer can offer an older version,
+        which is ignored.
 
         Args:
-            held: A version that was accepted.
+            held: An accepted version.
 
         Returns:
-            Whether it is now in force here.
+            Whether it replaced the version held.
         """
         if held.version <= self._held.version:
             return False
@@ -68,7 +70,7 @@
 def follow(
     held: HeldVersion, commit: commit_lib.Commit
 ) -> result.Outcome[HeldVersion]:
-    """Returns the version a commit makes of the one before it."""
+    """Applies a commit to the version before it."""
     if commit.version != held.version + 1 or commit.parent_id != held.write_id:
         return result.Failure(
             result.STORE_CORRUPT,
@@ -98,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadCommits:
-    """Read these commits and apply them in order."""
+    """Read these commits and apply them in this order."""
 
     names: tuple[str, ...]
 
@@ -107,14 +109,14 @@
 
 
 def plan_catch_up(held: HeldVersion, root: commit_lib.Root) -> CatchUp:
-    """Decides what to read in order to hold the root's version.
+    """Decides what to read to reach the root's version.
 
     Args:
-        held: What is held.
-        root: What the store says is in force.
+        held: The version held.
+        root: The root read from the store.
 
     Returns:
-        What to read next, or None if nothing is newer.
+        What to read next, or None if the root is not newer.
     """
     if root.version <= held.version:
         return None
--- a/packages/radishstack/src/radishstack/version/operation.py
+++ b/packages/radishstack/src/radishstack/version/operation.py
@@ -1,10 +1,10 @@
 """Typed operations on the document, and which of them commute.
 
-Two operations commute when they write different fields: accepted in either
-order they give the same document. This is the type-specific validation of
-"Apologizing Versus Asking Permission" (section 4): a change is validated
-against what others did since its base version, and is refused only for a
-conflict of its own, not for any change at all.
+Two operations commute when they write different fields, or the same values:
+applied in either order, they give the same document. This is the type-specific
+validation of "Apologizing Versus Asking Permission" (section 4): a change is
+validated against the operations accepted since its base version. It is rejected
+only if it conflicts with one of them, not because there are any.
 """
 
 import dataclasses
@@ -34,7 +34,7 @@
 
 @_operation()
 class PutEntity:
-    """Creates an entity or replaces it whole."""
+    """Creates an entity or replaces all of it."""
 
     op: Literal["put_entity"] = "put_entity"
     kind: str
@@ -53,7 +53,7 @@
 
 @_operation()
 class SetField:
-    """Sets one field of an entity that exists."""
+    """Sets one field of an existing entity."""
 
     op: Literal["set_field"] = "set_field"
     kind: str
@@ -80,14 +80,14 @@
 
 
 def writes(operation: Operation) -> dict[FieldKey, str]:
-    """Returns what an operation writes.
+    """Returns the fields that an operation writes.
 
     Args:
         operation: The operation.
 
     Returns:
-        Canonical values by (kind, name, field); the field ``*`` stands for
-        the whole entity.
+        Canonical values by (kind, name, field), where the field ``*`` is the
+        whole entity.
     """
     return _writes(operation)
 
@@ -125,14 +125,15 @@
 
 
 def find_conflict(ours: Operation, theirs: Operation) -> str | None:
-    """Names the conflict of two operations.
+    """Finds the conflict between two operations.
 
     Args:
         ours: The operation that is to be accepted.
-        theirs: One accepted since our base version.
+        theirs: An operation accepted since our base version.
 
     Returns:
-        The path both write with different values, or None if they commute.
+        The path that both write with different values, or None if they
+        commute.
     """
     their_writes = writes(theirs)
     for (kind, name, field), value in writes(ours).items():
@@ -170,19 +171,19 @@
     at_ms: int,
     accepted: bool = False,
 ) -> ApplyResult:
-    """Applies operations and checks the whole result.
+    """Applies operations and validates the resulting document.
 
     Args:
-        document: What they are applied to; left as it is.
-        operations: Applied in order.
-        version: The version the result would have.
-        at_ms: When it is accepted, Unix time.
-        accepted: Whether the change is in force already; it was checked
-            when it was accepted, and checking 35,000 adapters again in
-            every process would cost more than all else it does.
+        document: The document to apply them to; it is not modified.
+        operations: The operations, in order.
+        version: The version of the resulting document.
+        at_ms: When the change is accepted, Unix time.
+        accepted: Whether the change was accepted, and so validated, before.
+            Validating 35,000 adapters again in every process would cost
+            more than all of its other work.
 
     Returns:
-        The new document, or every problem it would have.
+        The new document, or all problems found in it.
     """
     tables = {
         kind: dict(getattr(document, kind)) for kind in document_lib.KINDS
@@ -297,7 +298,7 @@
 
 
 def entity_to_plain(entity: document_lib.Entity) -> dict[str, Any]:
-    """Renders one entity as plain data, without absent fields."""
+    """Returns one entity as plain data, without fields that are None."""
     type_adapter = _type_adapter_for(type(entity))
     return type_adapter.dump_python(entity, mode="json", exclude_none=True)
 
@@ -309,10 +310,10 @@
     version: int,
     at_ms: int,
 ) -> dict[str, tuple[document_lib.Placement, ...]]:
-    """Remembers former targets of non-idempotent services.
+    """Returns the former targets of non-idempotent services.
 
-    A key that ran on a former home must not run again on the new one, so a
-    new home has to know whom to ask.
+    An idempotency key that ran on a former target must not run again on a new
+    one, so the new target has to know which targets to ask.
     """
     keep_after_ms = at_ms - PLACEMENT_RETENTION_MS
     result = {
@@ -335,14 +336,14 @@
 def diff(
     before: document_lib.Document, after: document_lib.Document
 ) -> tuple[Operation, ...]:
-    """Finds the operations that lead from one document to another.
+    """Returns the operations that turn one document into another.
 
     Args:
-        before: The document the operator started from.
-        after: The document the operator wants.
+        before: The original document.
+        after: The edited document.
 
     Returns:
-        The operations, the narrowest that say the same.
+        The operations, each as narrow as possible.
     """
     operations: list[Operation] = []
     for kind in document_lib.KINDS:
--- a/packages/radishstack/src/radishstack/version/publish.py
+++ b/packages/radishstack/src/radishstack/version/publish.py
@@ -1,6 +1,7 @@
-"""Getting a change accepted, against races, outages and lost answers.
+"""Publishes a change despite concurrent writes, outages and lost responses.
 
-A plain state machine: results of store calls go in, store calls come out.
+A state machine without I/O: its input is the results of store calls, its
+output the next store call.
 """
 
 import dataclasses
@@ -16,14 +17,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """What an operator wants.
+    """A change that an operator proposes.
 
     Attributes:
         write_id: Unique id of this write.
-        operator: Who.
-        reason: Why.
-        base: The version the operator looked at.
-        operations: The change.
+        operator: Name of the operator.
+        reason: The operator's reason.
+        base: The version that the change was prepared on.
+        operations: The operations of the change.
     """
 
     write_id: str
@@ -35,14 +36,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CatchUp:
-    """Read the root and every commit since ``held``; answer ``CaughtUp``."""
+    """Read the root and all commits since ``held``; reply with ``CaughtUp``."""
 
     held: holder_lib.HeldVersion
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteCommit:
-    """Create the commit object, overwriting our own earlier try."""
+    """Create the commit object, or overwrite it from an earlier attempt."""
 
     name: str
     data: bytes
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpdateRoot:
-    """Update the root on condition that it still has this revision."""
+    """Update the root if it still has this revision."""
 
     expected_revision: int
     data: bytes
@@ -71,12 +72,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CaughtUp:
-    """The store as it is now.
+    """The current state of the store.
 
     Attributes:
         revision: The root object's revision, 0 if it does not exist.
         root: The root.
-        held: The version the root names.
+        held: The version that the root names.
         since: The commits after the proposal's base, oldest first.
     """
 
@@ -88,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Written:
-    """The last write took effect."""
+    """The last write succeeded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -98,20 +99,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Uncertain:
-    """The last write got no answer: it may have taken effect."""
+    """The last write got no response and may have taken effect."""
 
 
 Event = CaughtUp | Written | Conflicted | Uncertain
 
 
 class Publisher:
-    """Drives one proposal to its end."""
+    """Publishes one proposal."""
 
     def __init__(self, proposal: Proposal, *, now_ms: int) -> None:
-        """Starts a proposal.
+        """Creates a publisher for a proposal.
 
         Args:
-            proposal: What to get accepted.
+            proposal: The change to publish.
             now_ms: Unix time for the audit record.
         """
         self.proposal = proposal
@@ -140,8 +141,8 @@
     publisher.caught_up = event
     proposal = publisher.proposal
     for commit in event.since:
-        # The answer to our update was lost, and it had taken effect. Trying
-        # again would apply the change twice; the write id shows it.
+        # The update took effect but its response was lost. The write id
+        # shows this; a retry would apply the change twice.
         if commit.write_id == proposal.write_id:
             return Accepted(commit.version)
     for commit in event.since:
--- a/packages/radishstack/src/radishstack/version/route_table.py
+++ b/packages/radishstack/src/radishstack/version/route_table.py
@@ -1,8 +1,8 @@
-"""Which service a forwarded request belongs to, and what its route allows.
+"""Route tables, which map requests to services.
 
 A route table is one accepted version of the operator's routes. It is matched
-by host and by the longest path prefix, and a holder of tables only ever goes
-forward: a process that served a version never serves an older one.
+by host and by the longest path prefix. A process that served a version never
+serves an older one.
 """
 
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 
 class Repeat(enum.StrEnum):
-    """How often a request may run."""
+    """Whether a request may run more than once."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -39,15 +39,15 @@
         host: Host it serves, in lower case.
         path_prefix: Path prefix, with a slash at both ends.
         repeat: Whether a request may run more than once.
-        streams: Whether the answer is a stream of events.
-        resumable: Whether a stream may go on at another target.
-        timeout_ms: Longest time a caller is kept waiting.
-        objective_ms: Time within which an answer, or the first event of a
-            stream, is on time.
-        gap_objective_ms: Longest pause between two events that is on time.
-        priority: Rank, 0 the most urgent.
-        max_targets: Most targets that one attempt may be sent to.
-        shares: Services that take its requests.
+        streams: Whether the response is a stream of events.
+        resumable: Whether a stream may resume at another target.
+        timeout_ms: Longest time that a caller waits.
+        objective_ms: Latency objective for the response, or for the first event
+            of a stream.
+        gap_objective_ms: Latency objective for the time between two events.
+        priority: Priority, 0 the most urgent.
+        max_targets: Maximum number of targets that one attempt may be sent to.
+        shares: Services that serve its requests, with weights.
         public: Whether its requests need no API key.
     """
 
@@ -75,13 +75,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """What is configured of one service.
+    """The configuration of one service.
 
     Attributes:
         name: Its name.
-        max_connections: Connections one target takes from all callers.
-        adapter_limit: Adapters that one target can hold at once, 0 if the
-            service has no adapters.
+        max_connections: Maximum connections to one target from all callers.
+        adapter_limit: Maximum adapters loaded at one target, 0 if the service
+            has no adapters.
         base_models: Base models of its engines.
     """
 
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What callers may send, and how long they may stay idle."""
+    """Limits on request sizes and on idle connections of callers."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -105,10 +105,10 @@
     """One accepted version of the routes.
 
     Attributes:
-        version: Version number; 0 is the table before any is known.
+        version: Version number, 0 before the first table is received.
         routes: All routes by host, the longest prefix first.
         services: Services by name.
-        limits: Bounds for callers.
+        limits: Limits for callers.
         accounts: Client accounts, None if requests need no API key.
     """
 
@@ -156,13 +156,13 @@
     limits: Limits,
     accounts: client_account.Directory | None = None,
 ) -> RouteTable:
-    """Sorts routes for matching.
+    """Creates a route table with its routes sorted for matching.
 
     Args:
         version: Version number.
         routes: The routes in any order.
         services: The services.
-        limits: Bounds for callers.
+        limits: Limits for callers.
         accounts: Client accounts, None if requests need no API key.
 
     Returns:
@@ -185,18 +185,18 @@
 
 
 class TableHolder:
-    """Holds the newest table and never goes back."""
+    """Holds the newest table and never replaces it with an older one."""
 
     def __init__(self) -> None:
         """Starts without a table."""
         self.table = EMPTY
 
     def offer(self, table: RouteTable) -> bool:
-        """Applies a table if it is newer.
+        """Replaces the table held if the given one is newer.
 
-        An answer of the store, of a lagging replica of it, or of a peer can
-        be older than what is in force here; taking it would serve a route
-        that the operator has removed.
+        A table from the store, from an outdated replica of it or from a peer
+        can be older than the one held. Applying it would serve routes that
+        the operator removed.
 
         Args:
             table: The table.
--- a/packages/radishstack/src/radishstack/version/table_changes.py
+++ b/packages/radishstack/src/radishstack/version/table_changes.py
@@ -1,4 +1,4 @@
-"""What changed between two route tables, in words for operators."""
+"""Describes the differences between two route tables for operators."""
 
 import collections
 from collections.abc import Iterator
@@ -9,19 +9,19 @@
 from radishstack.version import client_account
 from radishstack.version import route_table
 
-# Differences that are kept of one version: a version that adds thousands of
-# routes would otherwise cost every gateway megabytes for as long as it runs.
+# Maximum differences kept for one version. A version that adds thousands of
+# routes would otherwise use megabytes in every gateway until it restarts.
 MAX_DETAILS = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A version that came into force in one process.
+    """A version that one process applied.
 
     Attributes:
         version: The version.
-        before: The version before it here, 0 if it is the first.
-        at_ms: Time of day at which it came into force here.
+        before: The version that it replaced, 0 if it is the first.
+        at_ms: Wall-clock time at which the process applied it.
         details: One line for each difference.
     """
 
@@ -34,16 +34,16 @@
 def describe(
     before: route_table.RouteTable, after: route_table.RouteTable
 ) -> tuple[str, ...]:
-    """Describes what a version changes.
+    """Describes the differences between two versions.
 
     Args:
-        before: The version before.
-        after: The version.
+        before: The older version.
+        after: The newer version.
 
     Returns:
-        One line for each added, removed or changed route, service and limit,
-        for example ``route r-chat: timeout_ms 400 to 300``; past a hundred
-        lines only their number.
+        One line for each added, removed or changed route, service, limit and
+        account, for example ``route r-chat: timeout_ms 400 to 300``. Above
+        ``MAX_DETAILS`` lines, the last one counts the omitted changes.
     """
     lines = (
         *_entry_changes("route", _routes(before), _routes(after)),
@@ -75,7 +75,7 @@
 def _key_changes(
     before: route_table.RouteTable, after: route_table.RouteTable
 ) -> Iterator[str]:
-    """Counts the keys that accounts gained and lost, and reveals none."""
+    """Counts the added and removed keys of accounts without revealing them."""
     old, new = _owners(before), _owners(after)
     if old == new:
         return
--- a/tests/stack/test_clock_offset.py
+++ b/tests/stack/test_clock_offset.py
@@ -1,4 +1,4 @@
-"""Times of another process, through delays and drift."""
+"""Conversion of a peer's times despite delays and clock drift."""
 
 from radishstack.connection import clock_offset
 
@@ -7,10 +7,10 @@
 
 
 def test_delayed_frame_does_not_extend_its_deadline() -> None:
-    """A frame from before a freeze shows its age.
+    """A frame that waited during a process pause keeps its deadline.
 
-    Symptom: a call executed after its caller had given up. Sequence: a
-    submission waits in the socket of a frozen process for five seconds.
+    Guards against running a request after its caller timed out: a submission
+    waits for five seconds in the socket of a frozen process.
     """
     offset = clock_offset.ClockOffset()
     offset.observe(1_000, 501_000 + TRANSIT_MS)
@@ -21,12 +21,11 @@
 
 
 def test_clock_drift_does_not_shorten_deadlines() -> None:
-    """A peer's slow clock must not make every deadline look past.
+    """A peer's slow clock must not make deadlines appear expired.
 
-    Symptom: refusals that grow over days until a process is restarted.
-    Sequence: the smallest difference was seen on the first day; the peer's
-    clock is 100 parts in a million slow, 8.6 s a day. Cause: an estimate
-    that is never renewed.
+    Guards against rejections that increase over days until a process is
+    restarted. With an estimate that is never renewed, the smallest difference
+    is from the first day, and a clock that is 100 ppm slow loses 8.6 s a day.
     """
     offset = clock_offset.ClockOffset()
     for now_ms in range(0, 3 * DAY_MS, 30_000):
--- a/tests/stack/test_frame.py
+++ b/tests/stack/test_frame.py
@@ -1,4 +1,4 @@
-"""Frames are checked: a bad one is a numbered failure, never an exception."""
+"""Decoding an invalid frame returns a failure and never raises."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -50,7 +50,7 @@
 
 
 def test_every_frame_round_trips() -> None:
-    """Encoding and decoding are inverse for every kind of frame."""
+    """Decoding inverts encoding for every kind of frame and datagram."""
     splitter = frame.Splitter()
     data = b"".join(frame.encode(9, body) for body in _BODIES)
     messages = []
@@ -84,13 +84,13 @@
 
 
 def test_arbitrary_bytes_are_a_frame_or_a_failure() -> None:
-    """Fuzzed input ends a connection with a number, nothing else."""
+    """Fuzzed input decodes to a frame or to a failure with a result code."""
     _any_bytes()
     _flipped_byte()
 
 
 def test_oversized_and_malformed_frames_are_rejected() -> None:
-    """Sizes and ids are checked before anything is done with a frame."""
+    """Frame sizes and attempt ids are validated when a frame is read."""
     splitter = frame.Splitter(max_frame_bytes=100)
     failure = splitter.feed((101).to_bytes(4, "little"))
     assert failure.code is result.FRAME_TOO_LARGE
--- a/tests/stack/test_imports.py
+++ b/tests/stack/test_imports.py
@@ -1,4 +1,4 @@
-"""No module can only be read together with one that imports it."""
+"""No import cycles between modules, including imports for type checkers."""
 
 import ast
 import functools
@@ -6,8 +6,8 @@
 import pathlib
 
 PACKAGES = pathlib.Path(__file__).parents[2] / "packages"
-# Modules of the own interface that still name each other's classes for type
-# checkers. Nothing may join them.
+# Existing cycles of modules in our own interface, which import each other's
+# classes for type checkers. No module may be added to them.
 KNOWN_IMPORT_CYCLES = (
     {"radishd.entry", "radishd.request.caller"},
     {
@@ -29,7 +29,7 @@
 
 
 def _imports(path: pathlib.Path) -> set[str]:
-    """Returns what a module imports, also what only type checkers read."""
+    """Returns a module's imports, including those only for type checkers."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -42,11 +42,11 @@
 
 
 def test_no_import_cycle_is_added() -> None:
-    """Symptom: a change to a request must be read beside the whole gateway.
+    """Modules outside the known cycles do not import each other.
 
-    Sequence: the gateway makes a request, and the request's module imports
-    the gateway's for its class. Cause: a request took the whole gateway where
-    it needs a few things of it.
+    Guards against a request's module that can be understood only together with
+    the whole gateway: the gateway creates a request, and the request's module
+    imports the gateway class, of which it needs only a few members.
     """
     graph = {}
     for name, path in _modules().items():
--- a/tests/stack/test_pages.py
+++ b/tests/stack/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages and layout agree with the code."""
+"""The documentation, the examples and the package layout match the code."""
 
 import ast
 import pathlib
@@ -20,7 +20,7 @@
 
 
 def test_result_codes_page_matches_the_code() -> None:
-    """Number, name, status, proof and retry of every code."""
+    """The page lists number, name, status, proof and retry of every code."""
     page = (ROOT / "docs/RESULT_CODES.md").read_text(encoding="utf-8")
     rows = {
         int(number): (name, status, executed, retry_elsewhere)
@@ -41,7 +41,7 @@
 
 
 def test_operators_page_names_every_metric() -> None:
-    """A metric without a line on the page helps nobody on call."""
+    """Every metric is documented for on-call operators."""
     page = (ROOT / "docs/OPERATIONS.md").read_text(encoding="utf-8")
     metrics = metrics_lib.Metrics()
     names = [one.name for one in metrics.registry.get_all()]
@@ -50,7 +50,7 @@
 
 
 def test_examples_are_valid() -> None:
-    """The documents and settings under ``examples`` can be used as they are."""
+    """The documents and settings under ``examples`` are valid as they are."""
     for path in sorted((ROOT / "examples").glob("document-*.yaml")):
         raw = yaml.safe_load(path.read_text(encoding="utf-8"))
         document = document_lib.parse(raw)
@@ -66,7 +66,7 @@
 
 
 def test_modules_are_imported_not_names() -> None:
-    """``from package import module`` and nothing smaller, in our own code."""
+    """Imports from our own packages name modules, never their members."""
     modules = {
         ".".join(path.relative_to(source).with_suffix("").parts)
         for source in PACKAGES.glob("*/src")
@@ -82,10 +82,11 @@
 
 
 def test_modules_import_only_equal_or_longer_life_spans() -> None:
-    """A module of a life span imports no module of a shorter one.
+    """A module imports no module with a shorter life span.
 
-    Modules at the top of a package hold several life spans together and may
-    import all of them.
+    The subpackages request, connection, version and process are life spans,
+    the shortest first. Modules at the top of a package combine several life
+    spans and may import all of them.
     """
     allowed = {("radishd", "connection/listener.py", "request")}
     for package in ("radishstack", "radishd"):
@@ -94,17 +95,21 @@
             shorter = LIFE_SPANS[:index]
             for path in (source / span).glob("*.py"):
                 for node in _imports(path):
-                    home, *part = (node.module or "").split(".")
-                    if home != package or not part or part[0] not in shorter:
+                    imported_package, *part = (node.module or "").split(".")
+                    if (
+                        imported_package != package
+                        or not part
+                        or part[0] not in shorter
+                    ):
                         continue
-                    place = str(path.relative_to(source))
-                    assert (package, place, part[0]) in allowed, (
+                    module_path = str(path.relative_to(source))
+                    assert (package, module_path, part[0]) in allowed, (
                         f"{path}: {node.module}"
                     )
 
 
 def test_every_command_has_a_help_text() -> None:
-    """``--help`` says what a command does, at every level."""
+    """Every command and subcommand has a help text."""
     pending = [radishctl_cli.main]
     while pending:
         command = pending.pop()
