--- a/packages/radishd/src/radishd/connection/transfer.py
+++ b/packages/radishd/src/radishd/connection/transfer.py
@@ -20,7 +20,7 @@
 OBJECT_API_WAIT_MS = 1_000
 
 
-def encode_chunks(held: holder_lib.Held) -> list[bytes]:
+def encode_chunks(held: holder_lib.HeldVersion) -> list[bytes]:
     """Splits a version into chunks; the first identifies it."""
     head = {"version": held.version, "write_id": held.write_id}
     data = json.dumps(document_lib.to_plain(held.document)).encode()
@@ -33,7 +33,7 @@
     ]
 
 
-def join(chunks: list[bytes]) -> result.Outcome[holder_lib.Held]:
+def join(chunks: list[bytes]) -> result.Outcome[holder_lib.HeldVersion]:
     """Reassembles a version from its chunks."""
     try:
         head = json.loads(chunks[0])
@@ -43,12 +43,12 @@
         return result.Failure(result.STORE_CORRUPT, f"a peer's: {error!r}")
     if isinstance(document, tuple):
         return result.Failure(result.STORE_CORRUPT, f"a peer's: {document[0]}")
-    return holder_lib.Held(version, write_id, document)
+    return holder_lib.HeldVersion(version, write_id, document)
 
 
 async def fetch_newest(
     links: link_lib.Links, seeds: tuple[str, ...]
-) -> holder_lib.Held | None:
+) -> holder_lib.HeldVersion | None:
     """Queries several peers and returns their newest version.
 
     A single peer may be partitioned and outdated. Its answer alone could
@@ -61,7 +61,7 @@
     Returns:
         The newest version, or None if no peer returned one.
     """
-    found: list[holder_lib.Held] = []
+    found: list[holder_lib.HeldVersion] = []
 
     async def ask(address: str) -> None:
         held = await _fetch(links, address)
@@ -99,7 +99,7 @@
 
 async def _fetch(
     links: link_lib.Links, address: str
-) -> result.Outcome[holder_lib.Held]:
+) -> result.Outcome[holder_lib.HeldVersion]:
     link = await links.get(address, address)
     if isinstance(link, result.Failure):
         return link
@@ -115,7 +115,7 @@
 
 async def _collect(
     link: link_lib.Link, stream: int, inbox: inbox_lib.Inbox
-) -> result.Outcome[holder_lib.Held]:
+) -> result.Outcome[holder_lib.HeldVersion]:
     order = sequence.Sequence()
     chunks: list[bytes] = []
     while True:
--- a/packages/radishstack/src/radishstack/connection/fleet_wire.py
+++ b/packages/radishstack/src/radishstack/connection/fleet_wire.py
@@ -1,8 +1,8 @@
-"""Datagrams between gateways and the processes beside engines, typed.
+"""Typed datagrams between gateways and sidecars, and between gateways.
 
-Both sides repeat their word several times a second, so a lost datagram costs
-a moment of freshness and nothing else. Gateways tell each other of crashes;
-what several crashes have in common they tell again.
+Gateways repeat their demand and sidecars their status updates several times a
+second, so a lost datagram only makes the state slightly older. Gateways report
+crashes to each other, and repeat the reports of requests with several crashes.
 """
 
 from collections.abc import Mapping
@@ -22,10 +22,10 @@
 from radishstack.process import usage_loan
 
 MAX_DATAGRAM_BYTES = 32 * 1024
-# One datagram carries at most this many entries of a list; the sender counts
-# and logs what is left out.
+# Maximum entries of a list in one datagram; the sender counts and logs the
+# omitted ones.
 MAX_ENTRIES = 256
-# The largest count and time that a field of sixteen bits holds.
+# The largest count or time that fits in a 16-bit field.
 MAX_COUNT = 0xFFFF
 
 _wire = capnp.load(str(pathlib.Path(__file__).with_name("fleet.capnp")))
@@ -33,33 +33,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemandDatagram:
-    """A gateway's demand and where its peers reach it."""
+    """A gateway's demand and the address for its peers."""
 
     demand: adapter_keeper.Demand
     peer_address: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
-    """An engine's state, in the word of the process beside it.
+class StatusUpdate:
+    """The state of an engine, sent by its sidecar.
 
     Attributes:
-        instance: Start of the engine.
-        running: Requests that run.
-        queued: Requests that wait.
-        residents: Versions of what it holds, by adapter.
-        pending: Adapters that are loaded or will be.
-        peer_addresses: Some of the gateways that this process hears; others
-            with each word.
-        load_wait: How long a load takes now.
-        born_ms: Birth of that start, 0 if it is not told.
-        former_born_ms: Birth of the start that this process saw before it,
-            0 if it saw none.
-        next_ms: Within what time the reader is told again, 0 if not told.
-        gateway_count: How many gateways this process hears.
-        recent: Adapters that the engine held last and does not any more, the
-            one held last at the end.
-        leaving: Whether the engine says that it leaves.
+        instance: Incarnation of the engine, by its instance name.
+        running: Running requests.
+        queued: Queued requests.
+        residents: Loaded versions by adapter.
+        pending: Adapters that are being loaded or are queued for it.
+        peer_addresses: Some of the gateways that send demand to this sidecar,
+            different ones in each update.
+        load_wait: How long loads take now.
+        born_ms: Start time of the engine's incarnation, 0 if unknown.
+        former_born_ms: Start time of the previous incarnation that this
+            sidecar observed, 0 if there is none.
+        next_ms: Time within which the next update is sent, 0 if unknown.
+        gateway_count: Number of gateways that send demand to this sidecar.
+        recent: Adapters that the engine held until recently, the most recent
+            last.
+        leaving: Whether the engine reports that it is draining.
     """
 
     instance: str
@@ -78,13 +78,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldObservation:
-    """One crash with a request running, in a word between gateways.
+class ReportedObservation:
+    """A crash at which a request was running, in a report between gateways.
 
     Attributes:
-        start: The start of a target that ended.
-        began_ago_ms: How long ago the request was sent there.
-        ended_ago_ms: How long ago the target ended.
+        incarnation_id: The incarnation of a target that crashed.
+        began_ago_ms: Time since the request was sent to the target.
+        ended_ago_ms: Time since the target crashed.
     """
 
     incarnation_id: incarnation.IncarnationId
@@ -93,31 +93,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldRecord:
-    """What is known against one request, in a word between gateways.
+class ReportedRecord:
+    """The evidence about one request, in a report between gateways.
 
     Attributes:
-        fingerprint: The request's.
-        observations: Crashes with it running.
-        cleared_ago_ms: How long ago an equal request ended well, None if
-            none has.
+        fingerprint: Fingerprint of the request.
+        observations: Crashes at which it was running.
+        cleared_ago_ms: Time since an equal request succeeded, None if none
+            did.
     """
 
     fingerprint: str
-    observations: tuple[ToldObservation, ...]
+    observations: tuple[ReportedObservation, ...]
     cleared_ago_ms: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Crashes, in the word of one gateway to others.
+    """Reports the crash evidence of one gateway to others.
 
     Attributes:
-        records: What is known against requests.
-        asks: Whether the reader is to tell what it knows.
+        records: The evidence about requests.
+        asks: Whether the receiver should report its own records.
     """
 
-    records: tuple[ToldRecord, ...] = ()
+    records: tuple[ReportedRecord, ...] = ()
     asks: bool = False
 
 
@@ -126,10 +126,10 @@
     """Reports the rate limit in a target's response to other gateways.
 
     Attributes:
-        start: The start of the target.
+        incarnation_id: The incarnation of the target.
         limit_per_s: Requests per second from all gateways together,
             ``UNLIMITED_PER_S`` if the response has no limit.
-        ago_ms: How long ago the response was received.
+        ago_ms: Time since the response was received.
     """
 
     incarnation_id: incarnation.IncarnationId
@@ -138,18 +138,24 @@
 
 
 Datagram = (
-    DemandDatagram | State | CrashReport | RateLimitReport | usage_loan.Message
+    DemandDatagram
+    | StatusUpdate
+    | CrashReport
+    | RateLimitReport
+    | usage_loan.Message
 )
 
 
-def told_record(record: crash_evidence.Record, now_ms: int) -> ToldRecord:
-    """Returns a record with ages in place of times of this VM's clock."""
+def to_reported_record(
+    record: crash_evidence.Record, now_ms: int
+) -> ReportedRecord:
+    """Converts a record's times on this VM's clock to ages."""
     cleared_at_ms = record.cleared_at_ms
     is_cleared = cleared_at_ms != crash_evidence.NEVER_MS
-    return ToldRecord(
+    return ReportedRecord(
         record.fingerprint,
         tuple(
-            ToldObservation(
+            ReportedObservation(
                 one.incarnation_id,
                 max(0, now_ms - one.began_at_ms),
                 max(0, now_ms - one.ended_at_ms),
@@ -160,27 +166,29 @@
     )
 
 
-def record_of(told: ToldRecord, now_ms: int) -> crash_evidence.Record:
-    """Returns a record with times of this VM's clock in place of ages."""
+def from_reported_record(
+    reported: ReportedRecord, now_ms: int
+) -> crash_evidence.Record:
+    """Converts a record's ages to times on this VM's clock."""
     cleared_at_ms = crash_evidence.NEVER_MS
-    if told.cleared_ago_ms is not None:
-        cleared_at_ms = now_ms - told.cleared_ago_ms
+    if reported.cleared_ago_ms is not None:
+        cleared_at_ms = now_ms - reported.cleared_ago_ms
     return crash_evidence.Record(
-        told.fingerprint,
+        reported.fingerprint,
         tuple(
             crash_evidence.Observation(
                 one.incarnation_id,
                 now_ms - one.began_ago_ms,
                 now_ms - one.ended_ago_ms,
             )
-            for one in told.observations
+            for one in reported.observations
         ),
         cleared_at_ms,
     )
 
 
-def left_out_count(datagram: DemandDatagram) -> int:
-    """Returns how many entries of a demand do not fit into its datagram."""
+def omitted_count(datagram: DemandDatagram) -> int:
+    """Returns the number of demand entries that do not fit in a datagram."""
     demand = datagram.demand
     lists = (demand.uses, demand.wants, demand.announced)
     return sum(max(0, len(one) - MAX_ENTRIES) for one in lists)
@@ -210,13 +218,13 @@
         ],
         "wants": [
             {
-                "adapter": want.adapter,
-                "version": want.version,
-                "waiting": min(want.waiting, MAX_COUNT),
-                "firstDueMs": want.first_due_ms,
-                "lastDueMs": want.last_due_ms,
+                "adapter": load_request.adapter,
+                "version": load_request.version,
+                "waiting": min(load_request.waiting, MAX_COUNT),
+                "firstDueMs": load_request.first_due_ms,
+                "lastDueMs": load_request.last_due_ms,
             }
-            for want in demand.wants[:MAX_ENTRIES]
+            for load_request in demand.wants[:MAX_ENTRIES]
         ],
         "announced": [
             {"adapter": adapter, "version": version}
@@ -228,13 +236,13 @@
 
 
 @encode.register
-def _(datagram: State) -> bytes:
+def _(datagram: StatusUpdate) -> bytes:
     body = {
         "instance": datagram.instance,
         "running": datagram.running,
         "queued": datagram.queued,
-        "residents": _holdings(datagram.residents),
-        "pending": _holdings(dict.fromkeys(sorted(datagram.pending), 0)),
+        "residents": _encode_holdings(datagram.residents),
+        "pending": _encode_holdings(dict.fromkeys(sorted(datagram.pending), 0)),
         "peerAddresses": list(datagram.peer_addresses),
         "loadWaitMs": datagram.load_wait.wait_ms,
         "loadGapMs": min(round(datagram.load_wait.gap_ms), MAX_COUNT),
@@ -244,7 +252,7 @@
         "formerBornMs": datagram.former_born_ms,
         "nextMs": min(datagram.next_ms, MAX_COUNT),
         "gatewayCount": min(datagram.gateway_count, MAX_COUNT),
-        "recent": _holdings(dict.fromkeys(datagram.recent, 0)),
+        "recent": _encode_holdings(dict.fromkeys(datagram.recent, 0)),
         "leaving": datagram.leaving,
     }
     return _wire.FleetDatagram.new_message(state=body).to_bytes_packed()
@@ -301,7 +309,7 @@
     return _wire.FleetDatagram.new_message(usageLoan=body).to_bytes_packed()
 
 
-def _holdings(versions: Mapping[str, int]) -> list[dict[str, Any]]:
+def _encode_holdings(versions: Mapping[str, int]) -> list[dict[str, Any]]:
     by_base: dict[str, dict[str, Any]] = {}
     for name, version in versions.items():
         base, _, adapter = name.partition("/")
@@ -317,7 +325,7 @@
     return list(by_base.values())
 
 
-def _versions(holdings: Any) -> dict[str, int]:
+def _decode_holdings(holdings: Any) -> dict[str, int]:
     versions = {}
     for holding in holdings:
         if holding.isResident:
@@ -333,10 +341,10 @@
     """Decodes a datagram.
 
     Args:
-        data: What arrived.
+        data: The received bytes.
 
     Returns:
-        The datagram, or why it is none.
+        The datagram, or why it is invalid.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         return result.Failure(result.FRAME_TOO_LARGE, f"{len(data)} bytes")
@@ -383,13 +391,13 @@
     return DemandDatagram(demand, body.peerAddress)
 
 
-def _decode_state(body: object) -> State:
-    return State(
+def _decode_state(body: object) -> StatusUpdate:
+    return StatusUpdate(
         instance=body.instance,
         running=body.running,
         queued=body.queued,
-        residents=_versions(body.residents),
-        pending=frozenset(_versions(body.pending)),
+        residents=_decode_holdings(body.residents),
+        pending=frozenset(_decode_holdings(body.pending)),
         peer_addresses=tuple(body.peerAddresses),
         load_wait=adapter_keeper.LoadWait(
             body.loadWaitMs, body.loadGapMs, body.loadInTimeMs, body.fetchMs
@@ -398,17 +406,17 @@
         former_born_ms=body.formerBornMs,
         next_ms=body.nextMs,
         gateway_count=body.gatewayCount,
-        recent=tuple(_versions(body.recent)),
+        recent=tuple(_decode_holdings(body.recent)),
         leaving=body.leaving,
     )
 
 
 def _decode_crash_report(body: object) -> CrashReport:
     records = tuple(
-        ToldRecord(
+        ReportedRecord(
             bytes(record.fingerprint).hex(),
             tuple(
-                ToldObservation(
+                ReportedObservation(
                     incarnation.IncarnationId(one.target, one.bornMs),
                     one.beganAgoMs,
                     one.endedAgoMs,
--- a/packages/radishstack/src/radishstack/version/operation.py
+++ b/packages/radishstack/src/radishstack/version/operation.py
@@ -1,10 +1,10 @@
 """Typed operations on the document, and which of them commute.
 
-Two operations commute when they write different fields: accepted in either
-order they give the same document. This is the type-specific validation of
-"Apologizing Versus Asking Permission" (section 4): a change is validated
-against what others did since its base version, and is refused only for a
-conflict of its own, not for any change at all.
+Two operations commute when they write different fields, or the same values:
+applied in either order, they give the same document. This is the type-specific
+validation of "Apologizing Versus Asking Permission" (section 4): a change is
+validated against the operations accepted since its base version. It is rejected
+only if it conflicts with one of them, not because there are any.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 from radishstack.version import document as document_lib
 
 MS_PER_HOUR = 3_600_000
-PLACEMENT_KEEP_MS = 24 * MS_PER_HOUR
+PLACEMENT_RETENTION_MS = 24 * MS_PER_HOUR
 
 _operation = functools.partial(
     pydantic.dataclasses.dataclass,
@@ -34,7 +34,7 @@
 
 @_operation()
 class PutEntity:
-    """Creates an entity or replaces it whole."""
+    """Creates an entity or replaces all of it."""
 
     op: Literal["put_entity"] = "put_entity"
     kind: str
@@ -53,7 +53,7 @@
 
 @_operation()
 class SetField:
-    """Sets one field of an entity that exists."""
+    """Sets one field of an existing entity."""
 
     op: Literal["set_field"] = "set_field"
     kind: str
@@ -75,19 +75,19 @@
 Operation = PutEntity | RemoveEntity | SetField | AddVersion
 TaggedOperation = Annotated[Operation, pydantic.Field(discriminator="op")]
 
-WHOLE = "*"
+WHOLE_ENTITY = "*"
 FieldKey = tuple[str, str, str]
 
 
 def writes(operation: Operation) -> dict[FieldKey, str]:
-    """Returns what an operation writes.
+    """Returns the fields that an operation writes.
 
     Args:
         operation: The operation.
 
     Returns:
-        Canonical values by (kind, name, field); the field ``*`` stands for
-        the whole entity.
+        Canonical values by (kind, name, field), where the field ``*`` is the
+        whole entity.
     """
     return _writes(operation)
 
@@ -103,13 +103,13 @@
 
 @_writes.register
 def _put_writes(operation: PutEntity) -> dict[FieldKey, str]:
-    key = (operation.kind, operation.name, WHOLE)
+    key = (operation.kind, operation.name, WHOLE_ENTITY)
     return {key: _canonical(operation.value)}
 
 
 @_writes.register
 def _remove_writes(operation: RemoveEntity) -> dict[FieldKey, str]:
-    return {(operation.kind, operation.name, WHOLE): "removed"}
+    return {(operation.kind, operation.name, WHOLE_ENTITY): "removed"}
 
 
 @_writes.register
@@ -125,14 +125,15 @@
 
 
 def find_conflict(ours: Operation, theirs: Operation) -> str | None:
-    """Names the conflict of two operations.
+    """Finds the conflict between two operations.
 
     Args:
         ours: The operation that is to be accepted.
-        theirs: One accepted since our base version.
+        theirs: An operation accepted since our base version.
 
     Returns:
-        The path both write with different values, or None if they commute.
+        The path that both write with different values, or None if they
+        commute.
     """
     their_writes = writes(theirs)
     for (kind, name, field), value in writes(ours).items():
@@ -147,19 +148,19 @@
                 continue
             if field == their_field and value == other:
                 continue
-            path = field if field != WHOLE else their_field
-            suffix = "" if path == WHOLE else f".{path}"
+            path = field if field != WHOLE_ENTITY else their_field
+            suffix = "" if path == WHOLE_ENTITY else f".{path}"
             return f"{kind}.{name}{suffix}"
     return None
 
 
 def _fields_overlap(ours: str, theirs: str) -> bool:
-    if WHOLE in (ours, theirs) or ours == theirs:
+    if WHOLE_ENTITY in (ours, theirs) or ours == theirs:
         return True
     return ours.startswith(f"{theirs}.") or theirs.startswith(f"{ours}.")
 
 
-Applied = document_lib.Document | tuple[checks.Problem, ...]
+ApplyResult = document_lib.Document | tuple[checks.Problem, ...]
 
 
 def apply(
@@ -169,20 +170,20 @@
     version: int,
     at_ms: int,
     accepted: bool = False,
-) -> Applied:
-    """Applies operations and checks the whole result.
+) -> ApplyResult:
+    """Applies operations and validates the resulting document.
 
     Args:
-        document: What they are applied to; left as it is.
-        operations: Applied in order.
-        version: The version the result would have.
-        at_ms: When it is accepted, Unix time.
-        accepted: Whether the change is in force already; it was checked
-            when it was accepted, and checking 35,000 adapters again in
-            every process would cost more than all else it does.
+        document: The document to apply them to; it is not modified.
+        operations: The operations, in order.
+        version: The version of the resulting document.
+        at_ms: When the change is accepted, Unix time.
+        accepted: Whether the change was accepted, and so validated, before.
+            Validating 35,000 adapters again in every process would cost
+            more than all of its other work.
 
     Returns:
-        The new document, or every problem it would have.
+        The new document, or all problems found in it.
     """
     tables = {
         kind: dict(getattr(document, kind)) for kind in document_lib.KINDS
@@ -223,7 +224,7 @@
             path, kind, f"name one of {', '.join(document_lib.KINDS)}"
         )
     try:
-        entity = _adapter_for(entity_type).validate_python(value)
+        entity = _type_adapter_for(entity_type).validate_python(value)
     except pydantic.ValidationError as error:
         first = checks.explain(error)[0]
         return dataclasses.replace(first, path=f"{path}.{first.path}")
@@ -232,7 +233,7 @@
 
 
 @functools.cache
-def _adapter_for(entity_type: type) -> pydantic.TypeAdapter[Any]:
+def _type_adapter_for(entity_type: type) -> pydantic.TypeAdapter[Any]:
     return pydantic.TypeAdapter(entity_type)
 
 
@@ -241,7 +242,7 @@
     return _build(operation.kind, operation.name, operation.value, tables)
 
 
-def _missing(kind: str, name: str) -> checks.Problem:
+def _missing_entity(kind: str, name: str) -> checks.Problem:
     return checks.Problem(
         f"{kind}.{name}", "(missing)", "no such entry; add it first"
     )
@@ -252,7 +253,7 @@
     operation: RemoveEntity, tables: Tables
 ) -> checks.Problem | None:
     if operation.name not in tables.get(operation.kind, {}):
-        return _missing(operation.kind, operation.name)
+        return _missing_entity(operation.kind, operation.name)
     del tables[operation.kind][operation.name]
     return None
 
@@ -261,7 +262,7 @@
 def _apply_set(operation: SetField, tables: Tables) -> checks.Problem | None:
     entity = tables.get(operation.kind, {}).get(operation.name)
     if entity is None:
-        return _missing(operation.kind, operation.name)
+        return _missing_entity(operation.kind, operation.name)
     value = entity_to_plain(entity)
     if operation.value is None:
         value.pop(operation.field, None)
@@ -276,7 +277,7 @@
 ) -> checks.Problem | None:
     adapter = tables["adapters"].get(operation.name)
     if adapter is None:
-        return _missing("adapters", operation.name)
+        return _missing_entity("adapters", operation.name)
     added = document_lib.AdapterVersion(
         version=operation.version, source=operation.source
     )
@@ -297,9 +298,9 @@
 
 
 def entity_to_plain(entity: document_lib.Entity) -> dict[str, Any]:
-    """Renders one entity as plain data, without absent fields."""
-    adapter = _adapter_for(type(entity))
-    return adapter.dump_python(entity, mode="json", exclude_none=True)
+    """Returns one entity as plain data, without fields that are None."""
+    type_adapter = _type_adapter_for(type(entity))
+    return type_adapter.dump_python(entity, mode="json", exclude_none=True)
 
 
 def _placements_after(
@@ -309,12 +310,12 @@
     version: int,
     at_ms: int,
 ) -> dict[str, tuple[document_lib.Placement, ...]]:
-    """Remembers former targets of non-idempotent services.
+    """Returns the former targets of non-idempotent services.
 
-    A key that ran on a former home must not run again on the new one, so a
-    new home has to know whom to ask.
+    An idempotency key that ran on a former target must not run again on a new
+    one, so the new target has to know which targets to ask.
     """
-    keep_after_ms = at_ms - PLACEMENT_KEEP_MS
+    keep_after_ms = at_ms - PLACEMENT_RETENTION_MS
     result = {
         name: kept
         for name, entries in before.placements.items()
@@ -335,14 +336,14 @@
 def diff(
     before: document_lib.Document, after: document_lib.Document
 ) -> tuple[Operation, ...]:
-    """Finds the operations that lead from one document to another.
+    """Returns the operations that turn one document into another.
 
     Args:
-        before: The document the operator started from.
-        after: The document the operator wants.
+        before: The original document.
+        after: The edited document.
 
     Returns:
-        The operations, the narrowest that say the same.
+        The operations, each as narrow as possible.
     """
     operations: list[Operation] = []
     for kind in document_lib.KINDS:
--- a/packages/radishstack/src/radishstack/version/publish.py
+++ b/packages/radishstack/src/radishstack/version/publish.py
@@ -1,6 +1,7 @@
-"""Getting a change accepted, against races, outages and lost answers.
+"""Publishes a change despite concurrent writes, outages and lost responses.
 
-A plain state machine: results of store calls go in, store calls come out.
+A state machine without I/O: its input is the results of store calls, its
+output the next store call.
 """
 
 import dataclasses
@@ -11,38 +12,38 @@
 from radishstack.version import holder as holder_lib
 from radishstack.version import operation as operation_lib
 
-MAX_RACES = 16
+MAX_RETRIES = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """What an operator wants.
+    """A change that an operator proposes.
 
     Attributes:
         write_id: Unique id of this write.
-        operator: Who.
-        reason: Why.
-        base: The version the operator looked at.
-        operations: The change.
+        operator: Name of the operator.
+        reason: The operator's reason.
+        base: The version that the change was prepared on.
+        operations: The operations of the change.
     """
 
     write_id: str
     operator: str
     reason: str
-    base: holder_lib.Held
+    base: holder_lib.HeldVersion
     operations: tuple[operation_lib.Operation, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CatchUp:
-    """Read the root and every commit since ``held``; answer ``CaughtUp``."""
+    """Read the root and all commits since ``held``; reply with ``CaughtUp``."""
 
-    held: holder_lib.Held
+    held: holder_lib.HeldVersion
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteCommit:
-    """Create the commit object, overwriting our own earlier try."""
+    """Create the commit object, or overwrite it from an earlier attempt."""
 
     name: str
     data: bytes
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpdateRoot:
-    """Update the root on condition that it still has this revision."""
+    """Update the root if it still has this revision."""
 
     expected_revision: int
     data: bytes
@@ -71,24 +72,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CaughtUp:
-    """The store as it is now.
+    """The current state of the store.
 
     Attributes:
         revision: The root object's revision, 0 if it does not exist.
         root: The root.
-        held: The version the root names.
+        held: The version that the root names.
         since: The commits after the proposal's base, oldest first.
     """
 
     revision: int
     root: commit_lib.Root
-    held: holder_lib.Held
+    held: holder_lib.HeldVersion
     since: tuple[commit_lib.Commit, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Written:
-    """The last write took effect."""
+    """The last write succeeded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -98,25 +99,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Uncertain:
-    """The last write got no answer: it may have taken effect."""
+    """The last write got no response and may have taken effect."""
 
 
 Event = CaughtUp | Written | Conflicted | Uncertain
 
 
 class Publisher:
-    """Drives one proposal to its end."""
+    """Publishes one proposal."""
 
     def __init__(self, proposal: Proposal, *, now_ms: int) -> None:
-        """Starts a proposal.
+        """Creates a publisher for a proposal.
 
         Args:
-            proposal: What to get accepted.
+            proposal: The change to publish.
             now_ms: Unix time for the audit record.
         """
         self.proposal = proposal
         self.now_ms = now_ms
-        self.races = 0
+        self.retry_count = 0
         self.caught_up: CaughtUp | None = None
         self.commit: commit_lib.Commit | None = None
         self.root_sent = False
@@ -140,8 +141,8 @@
     publisher.caught_up = event
     proposal = publisher.proposal
     for commit in event.since:
-        # The answer to our update was lost, and it had taken effect. Trying
-        # again would apply the change twice; the write id shows it.
+        # The update took effect but its response was lost. The write id
+        # shows this; a retry would apply the change twice.
         if commit.write_id == proposal.write_id:
             return Accepted(commit.version)
     for commit in event.since:
@@ -149,7 +150,7 @@
             for ours in proposal.operations:
                 path = operation_lib.find_conflict(ours, theirs)
                 if path is not None:
-                    return _refuse_conflict(path, commit)
+                    return _conflict_failure(path, commit)
     version = event.root.version + 1
     document = operation_lib.apply(
         event.held.document,
@@ -179,7 +180,7 @@
     )
 
 
-def _refuse_conflict(path: str, commit: commit_lib.Commit) -> result.Failure:
+def _conflict_failure(path: str, commit: commit_lib.Commit) -> result.Failure:
     return result.Failure(
         result.CHANGE_CONFLICT,
         f"{path} was changed by {commit.audit.operator} in version "
@@ -201,19 +202,19 @@
 @_handle.register
 def _conflicted(event: Conflicted, publisher: Publisher) -> Next:
     del event
-    return _look_again(publisher)
+    return _retry(publisher)
 
 
 @_handle.register
 def _uncertain(event: Uncertain, publisher: Publisher) -> Next:
     del event
-    return _look_again(publisher)
+    return _retry(publisher)
 
 
-def _look_again(publisher: Publisher) -> Next:
-    publisher.races += 1
+def _retry(publisher: Publisher) -> Next:
+    publisher.retry_count += 1
     publisher.root_sent = False
-    if publisher.races > MAX_RACES:
+    if publisher.retry_count > MAX_RETRIES:
         return result.Failure(
             result.CHANGE_RACED,
             "too many concurrent changes; nothing was changed by this one "
--- a/packages/radishstack/src/radishstack/version/table_changes.py
+++ b/packages/radishstack/src/radishstack/version/table_changes.py
@@ -1,4 +1,4 @@
-"""What changed between two route tables, in words for operators."""
+"""Describes the differences between two route tables for operators."""
 
 import collections
 from collections.abc import Iterator
@@ -9,19 +9,19 @@
 from radishstack.version import client_account
 from radishstack.version import route_table
 
-# Differences that are kept of one version: a version that adds thousands of
-# routes would otherwise cost every gateway megabytes for as long as it runs.
+# Maximum differences kept for one version. A version that adds thousands of
+# routes would otherwise use megabytes in every gateway until it restarts.
 MAX_DETAILS = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A version that came into force in one process.
+    """A version that one process applied.
 
     Attributes:
         version: The version.
-        before: The version before it here, 0 if it is the first.
-        at_ms: Time of day at which it came into force here.
+        before: The version that it replaced, 0 if it is the first.
+        at_ms: Wall-clock time at which the process applied it.
         details: One line for each difference.
     """
 
@@ -34,32 +34,36 @@
 def describe(
     before: route_table.RouteTable, after: route_table.RouteTable
 ) -> tuple[str, ...]:
-    """Describes what a version changes.
+    """Describes the differences between two versions.
 
     Args:
-        before: The version before.
-        after: The version.
+        before: The older version.
+        after: The newer version.
 
     Returns:
-        One line for each added, removed or changed route, service and limit,
-        for example ``route r-chat: timeout_ms 400 to 300``; past a hundred
-        lines only their number.
+        One line for each added, removed or changed route, service, limit and
+        account, for example ``route r-chat: timeout_ms 400 to 300``. Above
+        ``MAX_DETAILS`` lines, the last one counts the omitted changes.
     """
     lines = (
-        *_entries("route", _routes(before), _routes(after)),
-        *_entries("service", before.services, after.services),
-        *_fields("limits", before.limits, after.limits),
-        *_entries("account", _accounts(before), _accounts(after)),
-        *_keys(before, after),
+        *_entry_changes("route", _routes(before), _routes(after)),
+        *_entry_changes("service", before.services, after.services),
+        *_field_changes("limits", before.limits, after.limits),
+        *_entry_changes("account", _accounts(before), _accounts(after)),
+        *_key_changes(before, after),
     )
-    left_out = len(lines) - MAX_DETAILS
-    if left_out > 0:
-        return (*lines[:MAX_DETAILS], f"{left_out} further changes")
+    omitted_count = len(lines) - MAX_DETAILS
+    if omitted_count > 0:
+        return (*lines[:MAX_DETAILS], f"{omitted_count} further changes")
     return lines
 
 
 def _routes(table: route_table.RouteTable) -> dict[str, route_table.Route]:
-    return {route.name: route for own in table.routes.values() for route in own}
+    return {
+        route.name: route
+        for routes in table.routes.values()
+        for route in routes
+    }
 
 
 def _accounts(
@@ -68,10 +72,10 @@
     return {} if table.accounts is None else table.accounts.accounts
 
 
-def _keys(
+def _key_changes(
     before: route_table.RouteTable, after: route_table.RouteTable
 ) -> Iterator[str]:
-    """Counts the keys that accounts gained and lost, and reveals none."""
+    """Counts the added and removed keys of accounts without revealing them."""
     old, new = _owners(before), _owners(after)
     if old == new:
         return
@@ -87,7 +91,7 @@
     return {} if table.accounts is None else table.accounts.names_by_digest
 
 
-def _entries(
+def _entry_changes(
     noun: str, before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> Iterator[str]:
     for name in sorted(before.keys() | after.keys()):
@@ -96,10 +100,12 @@
         elif name not in before:
             yield f"{noun} {name} added"
         else:
-            yield from _fields(f"{noun} {name}", before[name], after[name])
+            yield from _field_changes(
+                f"{noun} {name}", before[name], after[name]
+            )
 
 
-def _fields(title: str, before: Any, after: Any) -> Iterator[str]:
+def _field_changes(title: str, before: Any, after: Any) -> Iterator[str]:
     for field in dataclasses.fields(after):
         old, new = getattr(before, field.name), getattr(after, field.name)
         if old != new:
@@ -109,6 +115,6 @@
 def _text(value: Any) -> str:
     if isinstance(value, tuple):
         return ", ".join(map(_text, value)) or "none"
-    if isinstance(value, route_table.Share):
+    if isinstance(value, route_table.WeightedService):
         return f"{value.service} at {value.weight:g}"
     return str(value)
