--- a/bench/control.py
+++ b/bench/control.py
@@ -233,7 +233,7 @@
         configuration.offer(holder_lib.Held(1, "w1", document))
         tasks.start_soon(control.run)
         tasks.start_soon(entry.configuration_gossip.run)
-        tasks.start_soon(entry.forget)
+        tasks.start_soon(entry.expire_router_state)
         tasks.start_soon(entry.watch_vms)
         tasks.start_soon(_change, configuration)
 
--- a/packages/radishd/src/radishd/connection/listener.py
+++ b/packages/radishd/src/radishd/connection/listener.py
@@ -56,7 +56,7 @@
         finally:
             for stream, attempt_id in list(self.attempts.items()):
                 reader = serving_lib.ReaderId(self.writer, stream)
-                self.process.reader_left(attempt_id, reader, cut=True)
+                self.process.detach_reader(attempt_id, reader, cut=True)
 
     def _take(self, taken: frame.Frame) -> result.Failure | None:
         return _take(taken.body, self, taken.stream)
@@ -168,7 +168,7 @@
     if attempt_id is None:
         return _unknown(connection, stream)
     reader = serving_lib.ReaderId(connection.writer, stream)
-    connection.process.reader_left(attempt_id, reader, cut=False)
+    connection.process.detach_reader(attempt_id, reader, cut=False)
     return None
 
 
--- a/packages/radishd/src/radishd/entry.py
+++ b/packages/radishd/src/radishd/entry.py
@@ -33,10 +33,10 @@
 
 MS_PER_S = 1000.0
 PROCESS_ID_BYTES = 8
-FORGET_MS = 5_000
+EXPIRE_INTERVAL_MS = 5_000
 DRAIN_POLL_MS = 20
-VMS_RETRY_MS = 1_000
-FULL_RETRY_MS = 200
+VM_LIST_RETRY_MS = 1_000
+RETRY_AFTER_MS = 200
 
 
 class Entry:
@@ -74,13 +74,13 @@
         )
         self.router = routing.Router()
         self.listed_leaving: frozenset[str] = frozenset()
-        self.heard_leaving: frozenset[str] = frozenset()
+        self.reported_leaving: frozenset[str] = frozenset()
         self.budget = retry_budget.RetryBudget()
         self.in_flight: set[caller_lib.Caller] = set()
         self.draining = False
-        self.refusing = False
+        self.rejecting = False
         self.last_failures: dict[int, int] = {}
-        self.configuration.listen(self._version_raised)
+        self.configuration.listen(self._on_version_change)
         self.configuration_gossip = (
             configuration_gossip_lib.ConfigurationGossip(
                 settings,
@@ -90,13 +90,13 @@
                 random_source,
             )
         )
-        self.configuration_gossip.on_leaving = self._leaving_heard
+        self.configuration_gossip.on_leaving = self._on_leaving_reported
 
-    def _leaving_heard(self, names: frozenset[str]) -> None:
-        self.heard_leaving = names
+    def _on_leaving_reported(self, names: frozenset[str]) -> None:
+        self.reported_leaving = names
         self.router.listed_leaving = self.listed_leaving | names
 
-    def _version_raised(self, held: holder_lib.Held) -> None:
+    def _on_version_change(self, held: holder_lib.Held) -> None:
         self.links.version = held.version
 
     async def app(
@@ -108,27 +108,29 @@
         accepted_at_ms = clock.now_ms()
         headers = intake_lib.headers_of(scope)
         request_id = intake_lib.request_id_of(headers)
-        taken = await self._take_in(scope, receive, headers, request_id)
-        if isinstance(taken, result.Failure):
-            self.count(taken)
-            if taken.code is not result.CANCELLED:
-                await caller_lib.reply_failure(taken, request_id, send)
+        received = await self._receive_request(
+            scope, receive, headers, request_id
+        )
+        if isinstance(received, result.Failure):
+            self.count(received)
+            if received.code is not result.CANCELLED:
+                await caller_lib.reply_failure(received, request_id, send)
             return
         if scope["path"] == "/v1/models":
             await self._reply_models(send)
             return
         held = self.configuration.held
-        resolution = resolve.resolve(taken.asked, held)
+        resolution = resolve.resolve(received.asked, held)
         if isinstance(resolution, result.Failure):
             self.count(resolution)
             await caller_lib.reply_failure(resolution, request_id, send)
             return
         caller = caller_lib.Caller(
-            self, taken, held, resolution, send, accepted_at_ms
+            self, received, held, resolution, send, accepted_at_ms
         )
         await self._run(caller, receive)
 
-    async def _take_in(
+    async def _receive_request(
         self,
         scope: web.Scope,
         receive: web.Receive,
@@ -161,24 +163,24 @@
         return intake_lib.parse(scope, headers, request_id, body)
 
     def _check_open(self) -> result.Failure | None:
-        if self.refusing:
+        if self.rejecting:
             return result.Failure(
                 result.ENTRY_DRAINING,
                 f"{self.settings.name} is shutting down",
-                FULL_RETRY_MS,
+                RETRY_AFTER_MS,
             )
         if self.configuration.held.version == 0:
             return result.Failure(
                 result.NOT_READY,
                 f"{self.settings.name} has no configuration yet",
-                FULL_RETRY_MS,
+                RETRY_AFTER_MS,
             )
         if len(self.in_flight) >= self.own.max_in_flight:
             return result.Failure(
                 result.ENTRY_FULL,
                 f"{self.settings.name} has {len(self.in_flight)} requests in "
                 "flight",
-                round(FULL_RETRY_MS * self.random.uniform(0.5, 1.5)),
+                round(RETRY_AFTER_MS * self.random.uniform(0.5, 1.5)),
             )
         return None
 
@@ -189,14 +191,14 @@
         started_ms = clock.now_ms()
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._watch, caller, receive)
+                tasks.start_soon(self._watch_caller, caller, receive)
                 await caller.run()
                 tasks.cancel_scope.cancel()
         except* caller_lib.ResponseAbortedError as group:
             caller.failure = group.exceptions[0].failure
             raise group.exceptions[0] from None
         except* Exception as group:
-            caller.failure = self._broke(group)
+            caller.failure = self._handle_exceptions(group)
             await caller.reply(caller.failure)
         finally:
             self.in_flight.discard(caller)
@@ -204,7 +206,7 @@
             took_ms = clock.now_ms() - started_ms
             caller_lib.log_outcome(caller, caller.failure, took_ms)
 
-    def _broke(self, group: ExceptionGroup) -> result.Failure:
+    def _handle_exceptions(self, group: ExceptionGroup) -> result.Failure:
         """Logs what stopped one request; the others go on."""
         logs.exception("request_broke")
         code = result.INTERNAL
@@ -214,13 +216,13 @@
         self.metrics.broken.inc({"code": str(code.number)})
         return result.Failure(code, "this entry broke off the request")
 
-    async def _watch(
+    async def _watch_caller(
         self, caller: caller_lib.Caller, receive: web.Receive
     ) -> None:
         """Notices a caller that leaves and a deadline that passes."""
-        left_ms = caller.deadline_at_ms - clock.now_ms()
+        remaining_ms = caller.deadline_at_ms - clock.now_ms()
         grace_ms = caller_lib.DEADLINE_GRACE_MS
-        with anyio.move_on_after((left_ms + grace_ms) / MS_PER_S):
+        with anyio.move_on_after((remaining_ms + grace_ms) / MS_PER_S):
             while (await receive())["type"] != "http.disconnect":
                 pass
             caller.interrupt(caller_lib.Disconnected())
@@ -282,10 +284,10 @@
         )
         await send({"type": "http.response.body", "body": body})
 
-    async def forget(self) -> None:
+    async def expire_router_state(self) -> None:
         """Drops old beliefs now and then."""
         while True:
-            await anyio.sleep(FORGET_MS / MS_PER_S)
+            await anyio.sleep(EXPIRE_INTERVAL_MS / MS_PER_S)
             self.router.forget_old(clock.now_ms())
 
     async def watch_vms(self) -> None:
@@ -295,14 +297,14 @@
             listed = await self.store.list_vms(watch=revision)
             if isinstance(listed, result.Failure):
                 revision = None
-                await anyio.sleep(VMS_RETRY_MS / MS_PER_S)
+                await anyio.sleep(VM_LIST_RETRY_MS / MS_PER_S)
                 continue
             if isinstance(listed, str):
                 continue
             revision, vms = listed
             self.listed_leaving = frozenset(vm.name for vm in vms if vm.leaving)
             self.router.listed_leaving = (
-                self.listed_leaving | self.heard_leaving
+                self.listed_leaving | self.reported_leaving
             )
             self.configuration_gossip.announce_leaving(
                 tuple(sorted(self.listed_leaving))
@@ -345,7 +347,7 @@
         """
         self.draining = True
         await anyio.sleep(self.own.unready_ms / MS_PER_S)
-        self.refusing = True
+        self.rejecting = True
         with anyio.move_on_after(self.own.drain_ms / MS_PER_S):
             while self.in_flight:
                 await anyio.sleep(DRAIN_POLL_MS / MS_PER_S)
@@ -412,7 +414,7 @@
             transfer.seed, entry.configuration, entry.links, settings.seeds
         )
         tasks.start_soon(entry.configuration_gossip.run)
-        tasks.start_soon(entry.forget)
+        tasks.start_soon(entry.expire_router_state)
         tasks.start_soon(entry.watch_vms)
         admin_app = admin.make_app(
             metrics,
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -52,8 +52,8 @@
 
 MS_PER_S = 1_000
 CONNECT_TIMEOUT_MS = 400
-SWEEP_EVERY_MS = 500
-FORGET_VIEWS_MS = 30_000
+SWEEP_INTERVAL_MS = 500
+VIEW_TTL_MS = 30_000
 # The balancer takes a VM out after two misses a second apart; until then it
 # sends new connections, and for as long these are served.
 UNREADY_MS = 2_600
@@ -61,13 +61,13 @@
 # Part of the time until the forced end for which a request may wait for its
 # adapter; the rest is for its answer. One that waits on would be cut with the
 # process, though it was read and never sent.
-WAITS_PART = 0.5
+ADAPTER_WAIT_FRACTION = 0.5
 # Gateways assumed to share the retry allowance while fewer are known, as in
 # the first second after a start.
 MIN_GATEWAYS = 12
 # Part of the allowance that is used, so that requests that are counted in
 # another window elsewhere do not break it.
-BUDGET_PART = 0.7
+BUDGET_FRACTION = 0.7
 
 
 class Gateway:
@@ -103,7 +103,7 @@
         self.budgets: dict[str, shared_budget.SharedBudget] = {}
         self.notifier = notifier_lib.Notifier()
         self.crash_watch = crash_watch_lib.CrashWatch(
-            self.pool, log, metrics, self._target_crashed
+            self.pool, log, metrics, self._on_target_crash
         )
         self.evidence = target_evidence.TargetEvidence(
             self.roster,
@@ -112,7 +112,7 @@
             self.crash_watch,
             log,
             # Requests that wait for a load there are to choose anew.
-            on_leaving=self.notifier.notify_all,
+            on_draining=self.notifier.notify_all,
         )
         self.draining = False
         self.waits_end_at_ms = 0
@@ -136,7 +136,7 @@
             self.evidence,
             self.notifier,
             log,
-            self._start_known,
+            self._on_new_incarnation,
         )
         self.load_requests = self.sidecars.load_requests
         self.callers = callers_port.CallersPort(self)
@@ -192,9 +192,9 @@
             metrics,
             leaving_ms=self.own.leaving_ms,
             configuration_ms=self.own.configuration_ms,
-            on_listed=self._start_known,
+            on_listed=self._on_new_incarnation,
             on_change=self.notifier.notify_all,
-            on_limits=self._take_limits,
+            on_limits=self._apply_limits,
             on_store_back=self.crash_gossip.request_reports_soon,
             on_store_restored=self._rewrite_crash_records,
         )
@@ -204,14 +204,14 @@
         """The route table in force here."""
         return self.holder.table
 
-    def _start_known(self, member: roster_lib.Member) -> None:
+    def _on_new_incarnation(self, member: roster_lib.Member) -> None:
         """Handles an incarnation of a target that was not known before."""
         # Connections to a start before it lead nowhere; a request that must
         # not run twice would be lost on one.
         self.pool.drop(member.listing.address)
         self.load_requests.notify_new_incarnation(member)
 
-    def _target_crashed(self, crash: crash_lib.Crash) -> None:
+    def _on_target_crash(self, crash: crash_lib.Crash) -> None:
         """Handles a crash of a target that was seen here."""
         self.crash_gossip.crashed(crash)
 
@@ -256,7 +256,7 @@
         for lost_record in self.crash_gossip.records_to_rewrite():
             self.kept_crashes.keep(lost_record)
 
-    def _take_limits(self, limits: route_table.Limits) -> None:
+    def _apply_limits(self, limits: route_table.Limits) -> None:
         if self.server is not None:
             web.set_idle_timeout(self.server, limits.idle_timeout_ms)
 
@@ -271,7 +271,7 @@
             return route.shares[0].service
         return self.random.choices(route.shares, weights)[0].service
 
-    def spread(self, bounds_ms: tuple[int, int]) -> int:
+    def random_delay_ms(self, bounds_ms: tuple[int, int]) -> int:
         """Returns a time within bounds, so that returners do not meet."""
         return round(self.random.uniform(*bounds_ms))
 
@@ -280,11 +280,11 @@
         # As many as are known now: a part that was taken while fewer were
         # known would let all of them together send several times too much.
         gateways = max(MIN_GATEWAYS, self.peers.count)
-        part = self.own.retry_extra * BUDGET_PART / gateways
+        part = self.own.retry_extra * BUDGET_FRACTION / gateways
         budget = self.budgets.get(service)
         if budget is None:
             budget = shared_budget.SharedBudget(
-                self.own.retry_ratio * BUDGET_PART,
+                self.own.retry_ratio * BUDGET_FRACTION,
                 part,
                 self.own.retry_window_ms,
             )
@@ -292,7 +292,7 @@
         budget.part = part
         return budget
 
-    def has_other(self, service: str, member: roster_lib.Member) -> bool:
+    def has_other_target(self, service: str, member: roster_lib.Member) -> bool:
         """Whether another target could take a request of a service."""
         now_ms = clock.boot_ms()
         return any(
@@ -318,7 +318,7 @@
         if isinstance(datagram, fleet_wire.CrashReport):
             # The sender may have started after the last update of the peers.
             _, port = settings_lib.split_address(self.own.peers)
-            self.peers.heard((f"{sender[0]}:{port}",))
+            self.peers.record_peers((f"{sender[0]}:{port}",))
             self.crash_gossip.handle_report(datagram, sender)
         elif isinstance(datagram, fleet_wire.RateLimitReport):
             self.rate_limits.handle(datagram, sender)
@@ -327,7 +327,7 @@
         elif isinstance(datagram, usage_loan.Message):
             _, port = settings_lib.split_address(self.own.peers)
             name = f"{sender[0]}:{port}"
-            self.peers.heard((name,))
+            self.peers.record_peers((name,))
             self.usage_caps.handle(datagram, name)
 
     # Its own life.
@@ -335,18 +335,18 @@
     async def sweep(self) -> None:
         """Drops what is too old, now and then."""
         while True:
-            await anyio.sleep(SWEEP_EVERY_MS / MS_PER_S)
+            await anyio.sleep(SWEEP_INTERVAL_MS / MS_PER_S)
             now_ms = clock.boot_ms()
             self.pool.sweep()
-            self.peers.forget(now_ms)
+            self.peers.expire(now_ms)
             self.log.flush()
             self.crash_gossip.sweep()
             self.usage_caps.sweep()
-            self.placement.forget(now_ms, FORGET_VIEWS_MS)
+            self.placement.forget(now_ms, VIEW_TTL_MS)
             for name in self.roster.drop_expired(now_ms):
                 self.log.write("target_lapsed", target=name)
             for member in self.roster.apply_withheld(now_ms):
-                self._start_known(member)
+                self._on_new_incarnation(member)
             addresses = {
                 member.listing.address
                 for member in self.roster.members.values()
@@ -369,7 +369,7 @@
         """Applies reloaded settings; addresses stay as they are."""
         self.settings = settings
         self.own = settings.gateway
-        self.peers.heard(settings.seeds)
+        self.peers.record_peers(settings.seeds)
         self.budgets.clear()
         self.log.must("reload", config=self.table.version)
 
@@ -518,7 +518,7 @@
     began_ms = clock.boot_ms()
     gateway.draining = True
     gateway.waits_end_at_ms = began_ms + round(
-        WAITS_PART * gateway.own.shutdown_ms
+        ADAPTER_WAIT_FRACTION * gateway.own.shutdown_ms
     )
     gateway.log.must("draining", in_flight=gateway.in_flight)
     await anyio.sleep(UNREADY_MS / MS_PER_S)
--- a/packages/radishd/src/radishd/peers.py
+++ b/packages/radishd/src/radishd/peers.py
@@ -14,16 +14,16 @@
 from radishd.process import web
 
 # While the store does not answer, one peer is asked this often.
-ASK_EVERY_MS = 700
-ASK_TIMEOUT_MS = 800
+QUERY_INTERVAL_MS = 700
+QUERY_TIMEOUT_MS = 800
 CONNECT_TIMEOUT_MS = 300
 MAX_PEERS = 1_024
 # A gateway that no word has named for so long is taken for replaced. Words
 # name a few gateways each, all of them within some seconds.
-FORGET_MS = 60_000
+PEER_TTL_MS = 60_000
 # How long the largest count of gateways that a word told is believed: idle
 # gateways are told once a second, and some words are lost.
-COUNT_MS = 5_000
+COUNT_TTL_MS = 5_000
 PATH = "/known"
 MS_PER_S = 1_000
 HTTP_OK = 200
@@ -50,68 +50,68 @@
         self._own = own
         self._random = random_source
         self._seeds = {seed for seed in seeds if seed != own}
-        self._heard_at_ms: dict[str, int] = {}
+        self._last_named_at_ms: dict[str, int] = {}
         self._count = 0
-        self._counted_at_ms = 0
+        self._count_updated_at_ms = 0
 
     @property
     def addresses(self) -> set[str]:
         """Where the other gateways are asked."""
-        return self._seeds | self._heard_at_ms.keys()
+        return self._seeds | self._last_named_at_ms.keys()
 
     @property
     def count(self) -> int:
         """How many gateways there are, as far as is known, this one too."""
         return max(len(self.addresses) + 1, self._count)
 
-    def count_at_least(self, floor: int, now_ms: int) -> int:
+    def count_at_least(self, min_count: int, now_ms: int) -> int:
         """Returns how many gateways there are, or a floor while few told.
 
         Args:
-            floor: What is assumed while no sidecar has told their number.
+            min_count: What is assumed while no sidecar has told their number.
             now_ms: Now.
         """
-        if self._count and now_ms - self._counted_at_ms <= COUNT_MS:
+        if self._count and now_ms - self._count_updated_at_ms <= COUNT_TTL_MS:
             return self.count
-        return max(floor, self.count)
+        return max(min_count, self.count)
 
-    def counted(self, count: int, now_ms: int) -> None:
+    def record_gateway_count(self, count: int, now_ms: int) -> None:
         """Records how many gateways a sidecar receives demands from.
 
         The count is known with the first words, names only some words later;
         a part of a shared allowance that is taken meanwhile is too large.
         """
-        is_old = now_ms - self._counted_at_ms > COUNT_MS
+        is_old = now_ms - self._count_updated_at_ms > COUNT_TTL_MS
         if count >= self._count or is_old:
             self._count = count
-            self._counted_at_ms = now_ms
+            self._count_updated_at_ms = now_ms
 
-    def heard(self, addresses: Iterable[str]) -> None:
+    def record_peers(self, addresses: Iterable[str]) -> None:
         """Learns of gateways that a process beside an engine hears."""
         now_ms = clock.boot_ms()
         for address in addresses:
-            known = address in self._heard_at_ms
-            if known or len(self._heard_at_ms) < MAX_PEERS:
-                self._heard_at_ms[address] = now_ms
-        self._heard_at_ms.pop(self._own, None)
+            known = address in self._last_named_at_ms
+            if known or len(self._last_named_at_ms) < MAX_PEERS:
+                self._last_named_at_ms[address] = now_ms
+        self._last_named_at_ms.pop(self._own, None)
 
-    def forget(self, now_ms: int) -> None:
+    def expire(self, now_ms: int) -> None:
         """Drops gateways that are named no more.
 
         With VMs replaced every day most names would be of former ones; asked
         in an outage they do not answer. While no word comes, all are kept.
         """
-        newest_ms = max(self._heard_at_ms.values(), default=0)
-        if now_ms - newest_ms > FORGET_MS:
+        newest_ms = max(self._last_named_at_ms.values(), default=0)
+        if now_ms - newest_ms > PEER_TTL_MS:
             return
-        oldest_ms = now_ms - FORGET_MS
-        self._heard_at_ms = {
+        oldest_ms = now_ms - PEER_TTL_MS
+        self._last_named_at_ms = {
             address: at_ms
-            for address, at_ms in self._heard_at_ms.items()
+            for address, at_ms in self._last_named_at_ms.items()
             if at_ms >= oldest_ms
         }
 
-    async def ask(self) -> dict[str, Any] | None:
+    async def query_peer(self) -> dict[str, Any] | None:
         """Asks one peer what it knows."""
         if not self.addresses:
             return None
@@ -125,7 +125,7 @@
         try:
             head = f"GET {PATH} HTTP/1.1\r\nHost: {address}\r\n\r\n"
             connection.send(head.encode())
-            with anyio.move_on_after(ASK_TIMEOUT_MS / MS_PER_S):
+            with anyio.move_on_after(QUERY_TIMEOUT_MS / MS_PER_S):
                 answer = await http_client.read_answer(connection)
                 if isinstance(answer, http_client.Lost):
                     return None
@@ -138,11 +138,11 @@
             connection.close()
 
 
-def make_app(tell_known: Callable[[], dict[str, Any]]) -> web.App:
+def make_app(export_objects: Callable[[], dict[str, Any]]) -> web.App:
     """Makes the application that peers ask.
 
     Args:
-        tell_known: Returns what is known here.
+        export_objects: Returns what is known here.
     """
 
     async def app(
@@ -153,7 +153,7 @@
             return
         known = scope["path"] == PATH
         status = HTTP_OK if known else HTTP_NOT_FOUND
-        body = json.dumps(tell_known()).encode() if known else b""
+        body = json.dumps(export_objects()).encode() if known else b""
         headers = [(b"content-length", b"%d" % len(body))]
         await web.reply(send, status, headers, body)
 
--- a/packages/radishd/src/radishd/process/discovery.py
+++ b/packages/radishd/src/radishd/process/discovery.py
@@ -396,7 +396,7 @@
     async def ask_peers(self) -> None:
         """Requests objects from other gateways during a store outage."""
         while True:
-            await anyio.sleep(peers_lib.ASK_EVERY_MS / MS_PER_S)
+            await anyio.sleep(peers_lib.QUERY_INTERVAL_MS / MS_PER_S)
             failing = [
                 kind
                 for kind, follower in self.followers.items()
@@ -404,7 +404,7 @@
             ]
             if not failing:
                 continue
-            known = await self._peers.ask()
+            known = await self._peers.query_peer()
             if known is not None:
                 self.apply_peer_objects(known)
 
--- a/packages/radishd/src/radishd/request/callers_port.py
+++ b/packages/radishd/src/radishd/request/callers_port.py
@@ -111,7 +111,9 @@
         return admission.admit(
             self._gateway.table,
             admission.Head(request.host, request.path, request.key_digest),
-            retry_after_ms=self._gateway.spread(forward_lib.NO_TARGET_RETRY_MS),
+            retry_after_ms=self._gateway.random_delay_ms(
+                forward_lib.NO_TARGET_RETRY_MS
+            ),
         )
 
     async def _reject(
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -206,7 +206,7 @@
                 await self._fail(self.state.failure)
                 return
             if step is forwarding.Step.SEND_LATER:
-                pause_ms = self.gateway.spread(SHED_RETRY_MS)
+                pause_ms = self.gateway.random_delay_ms(SHED_RETRY_MS)
                 await anyio.sleep(pause_ms / MS_PER_S)
 
     def _next_step(
@@ -409,7 +409,7 @@
         code = result.NO_TARGET
         if self.state.may_have_run:
             code = result.OUTCOME_UNKNOWN
-        retry_after_ms = self.gateway.spread(NO_TARGET_RETRY_MS)
+        retry_after_ms = self.gateway.random_delay_ms(NO_TARGET_RETRY_MS)
         backoff_ms = self.gateway.roster.backoff_ms(
             self.service, clock.boot_ms()
         )
@@ -457,7 +457,7 @@
         if sent_at_ms is None:
             return
         if clock.boot_ms() - sent_at_ms > placement_lib.ENGINE_FIRST_BYTE_MS:
-            self.gateway.evidence.record_silence(member)
+            self.gateway.evidence.record_slow_first_byte(member)
 
     def _write_request(
         self,
@@ -574,7 +574,7 @@
         can_reroute = (
             self.route.repeatable
             and self.state.may_use_another
-            and self.gateway.has_other(self.service, send.member)
+            and self.gateway.has_other_target(self.service, send.member)
         )
         if self.response_started and self.needs_adapter:
             # The target may only pause, so a stall alone is no reason to
@@ -631,7 +631,7 @@
             and self.state.may_use_another
             and self.state.sends < forwarding.MAX_SENDS
             and self.left_ms() > forwarding.MIN_REMAINING_MS
-            and self.gateway.has_other(self.service, send.member)
+            and self.gateway.has_other_target(self.service, send.member)
         )
         if may_retry and self.gateway.budget(self.service).can_spend(
             clock.boot_ms()
@@ -771,7 +771,8 @@
             failure = result.Failure(result.OUTCOME_UNKNOWN, failure.message)
         elif proven_not_run and not failure.retry_after_ms:
             failure = dataclasses.replace(
-                failure, retry_after_ms=self.gateway.spread(SHED_RETRY_MS)
+                failure,
+                retry_after_ms=self.gateway.random_delay_ms(SHED_RETRY_MS),
             )
         await self.reply(failure)
 
--- a/packages/radishd/src/radishd/request/gateway_interface.py
+++ b/packages/radishd/src/radishd/request/gateway_interface.py
@@ -64,13 +64,13 @@
     def pick_service(self, route: route_table.Route) -> str:
         """Picks a service of a route by weight."""
 
-    def spread(self, bounds_ms: tuple[int, int]) -> int:
+    def random_delay_ms(self, bounds_ms: tuple[int, int]) -> int:
         """Returns a random time within bounds, to spread out retries."""
 
     def budget(self, service: str) -> shared_budget.SharedBudget:
         """Returns this gateway's share of a service's retry budget."""
 
-    def has_other(self, service: str, member: roster_lib.Member) -> bool:
+    def has_other_target(self, service: str, member: roster_lib.Member) -> bool:
         """Whether another target of a service could accept a request."""
 
     def release(self, address: str, connection: http_client.Connection) -> None:
--- a/packages/radishd/src/radishd/request/target_actions.py
+++ b/packages/radishd/src/radishd/request/target_actions.py
@@ -78,7 +78,7 @@
 def _ask_priors(
     action: event_lib.AskPriorHomes, process: target_lib.TargetProcess
 ) -> None:
-    process.tasks.start_soon(process.ask_priors, action)
+    process.tasks.start_soon(process.ask_prior_homes, action)
 
 
 @perform.register(event_lib.AnswerSeal)
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -63,8 +63,8 @@
         self.former_born_ms = 0
         self.engine_lost = False
         self.wake = anyio.Event()
-        self._told_at_ms = 0
-        self._told: tuple[Any, ...] = ()
+        self._status_sent_at_ms = 0
+        self._last_status: tuple[Any, ...] = ()
 
     @property
     def instance(self) -> str:
@@ -79,24 +79,28 @@
             return
         now_ms = clock.boot_ms()
         demand = datagram.demand
-        waits = frozenset(want.adapter for want in demand.wants if want.waiting)
+        waiting = frozenset(
+            want.adapter for want in demand.wants if want.waiting
+        )
         self.audience.record_demand(
             sender,
             datagram.peer_address,
-            waits,
+            waiting,
             uses=bool(demand.uses or demand.wants),
             now_ms=now_ms,
         )
-        known = self.incarnations.current
+        previous_instance = self.incarnations.current
         if not self.incarnations.select(demand.instance):
             return
-        if demand.instance != known:
+        if demand.instance != previous_instance:
             self.log.must(
-                "engine_instance", instance=demand.instance, before=known
+                "engine_instance",
+                instance=demand.instance,
+                before=previous_instance,
             )
             self.keeper.restarted()
-        is_news = self.keeper.handle_update(demand, now_ms)
-        if is_news or not waits.isdisjoint(self._residents()):
+        has_update = self.keeper.handle_update(demand, now_ms)
+        if has_update or not waiting.isdisjoint(self._residents()):
             self.wake.set()
 
     def _residents(self) -> Mapping[str, int]:
@@ -105,22 +109,22 @@
     async def run(self) -> None:
         """Keeps the engine until cancelled."""
         while True:
-            await self._round()
-            look_ms = self.keeper.next_poll_ms(clock.boot_ms())
-            with anyio.move_on_after(look_ms / MS_PER_S):
+            await self._poll_engine()
+            poll_ms = self.keeper.next_poll_ms(clock.boot_ms())
+            with anyio.move_on_after(poll_ms / MS_PER_S):
                 await self.wake.wait()
             self.wake = anyio.Event()
 
-    async def _round(self) -> None:
+    async def _poll_engine(self) -> None:
         report = await self.engine.report()
         if isinstance(report, result.Failure):
-            self._lost(report)
+            self._on_engine_lost(report)
         else:
             self._observe(report)
-            await self._give_orders()
-        await self._tell()
+            await self._send_orders()
+        await self._send_status()
 
-    def _lost(self, failure: result.Failure) -> None:
+    def _on_engine_lost(self, failure: result.Failure) -> None:
         if not self.engine_lost:
             self.engine_lost = True
             self.log.must("engine_lost", reason=failure.message)
@@ -144,7 +148,7 @@
                 accepted_count=report.accepted_count,
             )
 
-    async def _give_orders(self) -> None:
+    async def _send_orders(self) -> None:
         """Gives orders one by one, each on a new report."""
         while self.instance:
             order = self.keeper.decide(clock.boot_ms())
@@ -153,7 +157,7 @@
             began_ms = clock.boot_ms()
             ordered = await self.engine.order(order, self.instance)
             now_ms = clock.boot_ms()
-            self._note(order, ordered, now_ms - began_ms)
+            self._record_order(order, ordered, now_ms - began_ms)
             refused = ordered.verdict is Verdict.REFUSED
             self.keeper.settled(order, now_ms, refused=refused)
             if ordered.verdict is Verdict.OTHER_INSTANCE:
@@ -162,18 +166,21 @@
                 self.keeper.restarted()
             report = await self.engine.report()
             if isinstance(report, result.Failure):
-                self._lost(report)
+                self._on_engine_lost(report)
                 return
             self._observe(report)
-            if self._is_tell_due(clock.boot_ms()):
+            if self._is_status_due(clock.boot_ms()):
                 # An engine that leaves orders unanswered would keep this
                 # process from telling, and gateways would take it for gone.
-                await self._tell()
+                await self._send_status()
 
-    def _is_tell_due(self, now_ms: int) -> bool:
-        return now_ms - self._told_at_ms >= self.audience.active_interval_ms()
+    def _is_status_due(self, now_ms: int) -> bool:
+        return (
+            now_ms - self._status_sent_at_ms
+            >= self.audience.active_interval_ms()
+        )
 
-    def _note(
+    def _record_order(
         self,
         order: adapter_keeper.Order,
         ordered: engine_lib.Ordered,
@@ -194,22 +201,22 @@
             took_ms=took_ms,
         )
 
-    async def _tell(self) -> None:
+    async def _send_status(self) -> None:
         """Sends status updates to the gateways that are due."""
         now_ms = clock.boot_ms()
         if not self.instance:
             return
-        self._told_at_ms = now_ms
+        self._status_sent_at_ms = now_ms
         report = self.report
         residents = dict(self._residents())
         born_ms = report.born_ms if report is not None else 0
         leaving = report is not None and report.leaving
-        told = (self.instance, born_ms, residents, leaving)
-        changed, self._told = told != self._told, told
-        words = self.audience.due(
+        status = (self.instance, born_ms, residents, leaving)
+        changed, self._last_status = status != self._last_status, status
+        recipient_groups = self.audience.due(
             now_ms, changed=changed, held=frozenset(residents)
         )
-        if not words:
+        if not recipient_groups:
             return
         state = fleet_wire.State(
             instance=self.instance,
@@ -225,9 +232,9 @@
             recent=self.keeper.recently_held(),
             leaving=leaving,
         )
-        for word in words:
-            promised = dataclasses.replace(state, next_ms=word.next_ms)
-            await self.socket.send_all(word.addresses, promised)
+        for recipient_group in recipient_groups:
+            update = dataclasses.replace(state, next_ms=recipient_group.next_ms)
+            await self.socket.send_all(recipient_group.addresses, update)
 
     def on_process_pause(self, late_ms: int) -> None:
         """Distrusts what was believed before this process stood still."""
--- a/packages/radishd/src/radishd/sidecar_exchange.py
+++ b/packages/radishd/src/radishd/sidecar_exchange.py
@@ -22,7 +22,7 @@
 
 MS_PER_S = 1_000
 # A sidecar believes a demand for five times as long.
-DEMAND_EVERY_MS = 400
+DEMAND_INTERVAL_MS = 400
 
 
 class SidecarExchange:
@@ -77,7 +77,7 @@
         """Sends through a socket from now on."""
         self._socket = socket
 
-    def _spec_of(
+    def _engine_spec(
         self, member: roster_lib.Member
     ) -> route_table.ServiceSpec | None:
         spec = self._table().services.get(member.listing.service)
@@ -87,7 +87,7 @@
 
     async def send_demand(self, member: roster_lib.Member) -> None:
         """Sends one sidecar what is used and wanted at its engine."""
-        spec = self._spec_of(member)
+        spec = self._engine_spec(member)
         if spec is None or self._socket is None or member.gone:
             return
         listing = member.listing
@@ -120,31 +120,33 @@
             for member in list(self._roster.members.values()):
                 if self.load_requests.is_due(member, turn):
                     await self.send_demand(member)
-            await anyio.sleep(DEMAND_EVERY_MS / MS_PER_S)
+            await anyio.sleep(DEMAND_INTERVAL_MS / MS_PER_S)
 
     def handle_status(
         self, datagram: fleet_wire.State, sender: fleet_socket.Address
     ) -> None:
         """Applies the status update of a sidecar."""
-        self._peers.heard(datagram.peer_addresses)
-        self._peers.counted(datagram.gateway_count, clock.boot_ms())
+        self._peers.record_peers(datagram.peer_addresses)
+        self._peers.record_gateway_count(
+            datagram.gateway_count, clock.boot_ms()
+        )
         member = self._roster.members.get(datagram.instance)
         if member is None:
             return
         host, _ = settings_lib.split_address(member.listing.address)
         if host != sender[0]:
             return
-        spec = self._spec_of(member)
+        spec = self._engine_spec(member)
         if spec is None:
             return
         incarnation_id = incarnation.IncarnationId(
             datagram.instance, datagram.born_ms
         )
-        renewed = self._roster.restarted(
+        restarted_member = self._roster.restarted(
             incarnation_id, datagram.former_born_ms
         )
-        if renewed is not None:
-            member = renewed
+        if restarted_member is not None:
+            member = restarted_member
             self._log.must(
                 "target_restarted",
                 target=incarnation_id.name,
@@ -157,7 +159,7 @@
             # An incarnation that is not listed yet.
             return
         if datagram.leaving:
-            self._evidence.mark_leaving(incarnation_id, source="sidecar")
+            self._evidence.mark_draining(incarnation_id, source="sidecar")
         before = self._placement.views.get(member.listing.address)
         view = placement_lib.View(
             instance=datagram.instance,
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -45,10 +45,10 @@
 IDLE_TICK_MS = 500
 SEAL_TIMEOUT_MS = 1_000
 VERSION_WAIT_MS = 1_000
-LOOKS_BEFORE_LOST = 2
+FAILED_POLLS_BEFORE_LOST = 2
 PROCESS_ID_BYTES = 8
-ORDERS_PER_MS = 1_000
-LEAVE_LIST_MS = 1_000
+ORDER_NUMBERS_PER_MS = 1_000
+VM_LIST_RETRY_MS = 1_000
 
 
 class TargetProcess:
@@ -102,7 +102,7 @@
                 max_parallel_loads=own.max_parallel_loads,
                 quarantine_ms=own.quarantine_ms,
                 # Orders of an earlier process in this slot must be older.
-                first_order=clock.unix_ms() * ORDERS_PER_MS,
+                first_order=clock.unix_ms() * ORDER_NUMBERS_PER_MS,
             ),
             now_ms=clock.now_ms(),
             random_source=random_source,
@@ -111,15 +111,15 @@
         self.servings: dict[bytes, serving_lib.ServedRun] = {}
         self.owners: dict[bytes, bytes] = {}
         self.kept_bytes = 0
-        self._busy = anyio.Event()
-        self._look_now = anyio.Event()
+        self._work_arrived = anyio.Event()
+        self._poll_requested = anyio.Event()
         self.configuration_gossip: (
             configuration_gossip_lib.ConfigurationGossip | None
         ) = None
         self.seals: dict[int, tuple[Any, int]] = {}
-        self.configuration.listen(self._version_raised)
+        self.configuration.listen(self._on_version_change)
 
-    def _version_raised(self, held: holder_lib.Held) -> None:
+    def _on_version_change(self, held: holder_lib.Held) -> None:
         self.links.version = held.version
         self.handle(event_lib.VersionActivated(held))
 
@@ -154,7 +154,7 @@
             self.tasks.start_soon(self._submit_later, attempt)
             return
         self.handle(event_lib.Submitted(attempt))
-        self._busy.set()
+        self._work_arrived.set()
 
     async def _submit_later(self, attempt: attempt_lib.Attempt) -> None:
         """Waits for the version an attempt was resolved against."""
@@ -190,8 +190,8 @@
         self.servings[run_id] = serving
         self.owners[run_id] = run_id
         serving.attach(reader, 0)
-        for piece in transfer.pieces_of(self.configuration.held):
-            serving.run.append(piece)
+        for chunk in transfer.pieces_of(self.configuration.held):
+            serving.run.append(chunk)
         serving.run.end(None)
         serving.flush(self.load())
         return run_id
@@ -200,7 +200,7 @@
         """Returns the run that an attempt reads."""
         return self.servings.get(self.owners.get(attempt_id, b""))
 
-    def reader_left(
+    def detach_reader(
         self, attempt_id: bytes, reader: serving_lib.ReaderId, *, cut: bool
     ) -> None:
         """Records that a reader is gone.
@@ -244,7 +244,7 @@
         try:
             failure: result.Failure | None = None
             with serving.scope:
-                failure = await self._pump(attempt, serving)
+                failure = await self._stream_response(attempt, serving)
             if serving.failure is not None:
                 failure = serving.failure
             serving.run.end(failure)
@@ -267,14 +267,14 @@
         )
         ran = failure is None or failure.code is not result.TARGET_COLD
         if not ran:
-            self._look_now.set()
+            self._poll_requested.set()
         if attempt.key and ran:
-            self._keep(serving)
+            self._keep_answer(serving)
         elif not serving.run.readers and not serving.orphaned_at_ms:
             self.drop(attempt.attempt_id)
         self.handle(event_lib.RunEnded(attempt.attempt_id, ran))
 
-    def _keep(self, serving: serving_lib.ServedRun) -> None:
+    def _keep_answer(self, serving: serving_lib.ServedRun) -> None:
         """Keeps the answer of a key, within the bound of all kept ones."""
         serving.kept_bytes = serving.run.bytes_held
         self.kept_bytes += serving.kept_bytes
@@ -286,7 +286,7 @@
                 other.kept_bytes = 0
                 other.run.drop_chunks()
 
-    async def _pump(
+    async def _stream_response(
         self, attempt: attempt_lib.Attempt, serving: serving_lib.ServedRun
     ) -> result.Failure | None:
         limits = engine_call.Limits(
@@ -297,27 +297,27 @@
             self.handle(event_lib.AdapterReported(attempt.attempt_id, adapter))
             return serving.failure is None
 
-        parts = engine_call.call(
+        events = engine_call.call(
             self.pool, self.own.url, attempt, limits, report
         )
         load = self.load(attempt.adapter)
-        async with contextlib.aclosing(parts):
-            async for part in parts:
-                match part:
+        async with contextlib.aclosing(events):
+            async for event in events:
+                match event:
                     case bytes():
                         serving.heard_at_ms = clock.now_ms()
-                        serving.run.append(part)
+                        serving.run.append(event)
                         serving.flush(load)
                         if serving.is_backlogged:
                             # Silence is now the reader's, not the target's.
                             serving.heard_at_ms = 0
                             await serving.wait_for_readers()
                     case engine_call.Head():
-                        serving.run.status = part.status
-                        serving.run.content_type = part.content_type
+                        serving.run.status = event.status
+                        serving.run.content_type = event.content_type
                         serving.head_known = True
                     case result.Failure():
-                        return part
+                        return event
         return None
 
     async def run_load(self, action: event_lib.StartLoad) -> None:
@@ -326,7 +326,9 @@
         answer = await self.engine.load(action.adapter, source, action.order)
         if isinstance(answer, result.Failure):
             # The answer may be lost and the order have taken effect.
-            answer = await self._look_for(action.adapter, True) or answer
+            answer = (
+                await self._confirm_residency(action.adapter, True) or answer
+            )
         outcome = "failed" if isinstance(answer, result.Failure) else "loaded"
         self.metrics.loads.inc({"outcome": outcome})
         if isinstance(answer, result.Failure):
@@ -342,14 +344,16 @@
                 )
             )
             return
-        self._notice(answer, action.incarnation)
+        self._check_incarnation(answer, action.incarnation)
         self.handle(event_lib.Loaded(action.adapter, answer, action.order))
 
     async def run_unload(self, action: event_lib.StartUnload) -> None:
         """Performs an unload order and finds out what became of it."""
         answer = await self.engine.unload(action.adapter, action.order)
         if isinstance(answer, result.Failure):
-            answer = await self._look_for(action.adapter, False) or answer
+            answer = (
+                await self._confirm_residency(action.adapter, False) or answer
+            )
         failed = isinstance(answer, result.Failure)
         self.metrics.unloads.inc(
             {"outcome": "failed" if failed else "unloaded"}
@@ -361,10 +365,10 @@
                 )
             )
             return
-        self._notice(answer, action.incarnation)
+        self._check_incarnation(answer, action.incarnation)
         self.handle(event_lib.Unloaded(action.adapter, answer, action.order))
 
-    async def _look_for(self, adapter: str, resident: bool) -> str:
+    async def _confirm_residency(self, adapter: str, resident: bool) -> str:
         """Returns the incarnation that does or does not hold an adapter.
 
         Args:
@@ -374,16 +378,16 @@
         Returns:
             The incarnation, empty if it is otherwise or not known.
         """
-        seen = await self.engine.get_state()
-        if isinstance(seen, result.Failure):
+        state = await self.engine.get_state()
+        if isinstance(state, result.Failure):
             return ""
-        as_hoped = (adapter in seen.resident) == resident
-        return seen.incarnation if as_hoped else ""
+        is_confirmed = (adapter in state.resident) == resident
+        return state.incarnation if is_confirmed else ""
 
-    def _notice(self, answering: str, ordered: str) -> None:
+    def _check_incarnation(self, answering: str, ordered: str) -> None:
         """Looks at once at an engine that has restarted unseen."""
         if answering != ordered:
-            self._look_now.set()
+            self._poll_requested.set()
 
     def _source_of(self, exact: str) -> str:
         name, _, version_text = exact.partition("@")
@@ -395,12 +399,12 @@
                 return entry.source
         return ""
 
-    async def ask_priors(self, action: event_lib.AskPriorHomes) -> None:
+    async def ask_prior_homes(self, action: event_lib.AskPriorHomes) -> None:
         """Asks former homes about a key and reports their worst answer."""
         answers: list[ledger_lib.SealReply] = []
 
         async def ask(name: str) -> None:
-            answers.append(await self._ask_prior(name, action.key))
+            answers.append(await self._ask_prior_home(name, action.key))
 
         async with anyio.create_task_group() as tasks:
             for name in action.targets:
@@ -412,7 +416,7 @@
             worst = ledger_lib.SealReply.UNKNOWN
         self.handle(event_lib.PriorHomesAnswered(action.attempt_id, worst))
 
-    async def _ask_prior(
+    async def _ask_prior_home(
         self, name: str, key: ledger_lib.Key
     ) -> ledger_lib.SealReply:
         target = self.configuration.held.document.targets.get(name)
@@ -434,58 +438,58 @@
 
     async def watch_engine(self) -> None:
         """Asks the engine for its state, again and again."""
-        misses = 0
+        failed_polls = 0
         while True:
             asked_at_ms = clock.now_ms()
-            seen = await self.engine.get_state()
-            if isinstance(seen, result.Failure):
-                misses += 1
-                if misses == LOOKS_BEFORE_LOST:
-                    logs.warn("engine_lost", reason=seen.message)
+            state = await self.engine.get_state()
+            if isinstance(state, result.Failure):
+                failed_polls += 1
+                if failed_polls == FAILED_POLLS_BEFORE_LOST:
+                    logs.warn("engine_lost", reason=state.message)
                     self.handle(event_lib.EngineLost())
             else:
-                misses = 0
-                if seen.incarnation != self.machine.residency.incarnation:
+                failed_polls = 0
+                if state.incarnation != self.machine.residency.incarnation:
                     # An order of this slot's former process may still be on
                     # its way and unload what is granted here. An engine that
                     # checks fencing numbers refuses it from now on.
                     await self.engine.raise_fence(self.machine.residency.order)
                 self.handle(
                     event_lib.EngineObserved(
-                        seen.incarnation, seen.resident, asked_at_ms
+                        state.incarnation, state.resident, asked_at_ms
                     )
                 )
-            self._look_now = anyio.Event()
+            self._poll_requested = anyio.Event()
             with anyio.move_on_after(self.own.poll_ms / MS_PER_S):
-                await self._look_now.wait()
+                await self._poll_requested.wait()
 
     async def tick(self) -> None:
         """Lets time pass for the decisions."""
         while True:
             if self.machine.idle:
-                self._busy = anyio.Event()
+                self._work_arrived = anyio.Event()
                 with anyio.move_on_after(IDLE_TICK_MS / MS_PER_S):
-                    await self._busy.wait()
+                    await self._work_arrived.wait()
             else:
                 await anyio.sleep(TICK_MS / MS_PER_S)
             self.handle(event_lib.Ticked())
             now_ms = clock.now_ms()
-            self._cut_silent(now_ms)
+            self._abort_stalled_runs(now_ms)
             oldest_ms = now_ms - self.own.resume_ms
             for owner_id, serving in list(self.servings.items()):
                 if 0 < serving.orphaned_at_ms < oldest_ms:
                     serving.orphaned_at_ms = 0
                     self._abandon(owner_id, serving)
 
-    def _cut_silent(self, now_ms: int) -> None:
+    def _abort_stalled_runs(self, now_ms: int) -> None:
         """Ends runs whose target has sent nothing for too long.
 
         Reads of an answer carry no timeout of their own, see ``backend``.
         """
         oldest_ms = now_ms - self.own.run_timeout_ms
         for serving in list(self.servings.values()):
-            silent = 0 < serving.heard_at_ms < oldest_ms
-            if silent and serving.run.ended is None:
+            is_stalled = 0 < serving.heard_at_ms < oldest_ms
+            if is_stalled and serving.run.ended is None:
                 serving.heard_at_ms = 0
                 serving.failure = result.Failure(
                     result.TARGET_FAILED,
@@ -493,7 +497,7 @@
                 )
                 serving.scope.cancel()
 
-    def leaving_heard(self, names: frozenset[str]) -> None:
+    def on_leaving_reported(self, names: frozenset[str]) -> None:
         """Learns from a peer who leaves."""
         if self.settings.name in names:
             self.handle(event_lib.DrainRequested())
@@ -509,18 +513,18 @@
                 self.configuration_gossip is not None
                 and not self.configuration_gossip.watches()
             ):
-                await anyio.sleep(LEAVE_LIST_MS / MS_PER_S)
+                await anyio.sleep(VM_LIST_RETRY_MS / MS_PER_S)
                 continue
             listed = await self.store.list_vms(watch=revision)
             if isinstance(listed, result.Failure):
                 revision = None
-                await anyio.sleep(LEAVE_LIST_MS / MS_PER_S)
+                await anyio.sleep(VM_LIST_RETRY_MS / MS_PER_S)
                 continue
             if isinstance(listed, str):
                 continue
             revision, vms = listed
             leaving = tuple(sorted(vm.name for vm in vms if vm.leaving))
-            self.leaving_heard(frozenset(leaving))
+            self.on_leaving_reported(frozenset(leaving))
             if self.configuration_gossip is not None:
                 self.configuration_gossip.announce_leaving(leaving)
 
@@ -570,7 +574,7 @@
         """
         self.handle(event_lib.DrainRequested())
         with anyio.move_on_after(self.own.drain_ms / MS_PER_S):
-            while not self.machine.idle or self._unread():
+            while not self.machine.idle or self._has_unread_runs():
                 await anyio.sleep(TICK_MS / MS_PER_S)
         for running in self.machine.running.values():
             self.metrics.cut.inc({"reason": "drain"})
@@ -582,7 +586,7 @@
             )
         return len(self.machine.running)
 
-    def _unread(self) -> bool:
+    def _has_unread_runs(self) -> bool:
         return any(
             serving.run.readers or serving.orphaned_at_ms
             for serving in self.servings.values()
@@ -624,7 +628,7 @@
             process.configuration,
             random_source or random.Random(),
         )
-        configuration_gossip.on_leaving = process.leaving_heard
+        configuration_gossip.on_leaving = process.on_leaving_reported
         process.configuration_gossip = configuration_gossip
         tasks.start_soon(control.run)
         tasks.start_soon(
--- a/packages/radishd/src/radishd/target_evidence.py
+++ b/packages/radishd/src/radishd/target_evidence.py
@@ -28,7 +28,7 @@
         pool: pool_lib.Pool,
         crash_watch: crash_watch_lib.CrashWatch,
         log: decision_log.DecisionLog,
-        on_leaving: Callable[[], None],
+        on_draining: Callable[[], None],
     ) -> None:
         """Starts without evidence.
 
@@ -38,14 +38,14 @@
             pool: Connections to targets, closed where they lead nowhere.
             crash_watch: Looks whether a target crashed.
             log: Where beliefs are logged.
-            on_leaving: Called when a target turns out to be leaving.
+            on_draining: Called when a target turns out to be leaving.
         """
         self._roster = roster
         self._placement = placement
         self._pool = pool
         self._crash_watch = crash_watch
         self._log = log
-        self._on_leaving = on_leaving
+        self._on_draining = on_draining
 
     def record_outcome(
         self, member: roster_lib.Member, outcome: Outcome, adapter: str
@@ -84,7 +84,7 @@
         if status >= HTTP_SERVER_ERROR and self._roster.is_current(member):
             self._roster.failed(member.listing.instance, clock.boot_ms())
 
-    def record_silence(self, member: roster_lib.Member) -> None:
+    def record_slow_first_byte(self, member: roster_lib.Member) -> None:
         """Records a long wait for the first byte of a response."""
         if self._roster.is_current(member):
             self._roster.failed(member.listing.instance, clock.boot_ms())
@@ -103,7 +103,7 @@
         """Applies what the headers of a response say about its target."""
         incarnation_id = member.listing.incarnation_id
         if signals.leaving:
-            self.mark_leaving(
+            self.mark_draining(
                 incarnation_id, source="answer", request=attempt_id
             )
         if signals.backoff_ms:
@@ -115,7 +115,7 @@
                 request=attempt_id,
             )
 
-    def mark_leaving(
+    def mark_draining(
         self,
         incarnation_id: incarnation.IncarnationId,
         *,
@@ -132,4 +132,4 @@
             told_by=source,
             request=request,
         )
-        self._on_leaving()
+        self._on_draining()
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -382,7 +382,7 @@
     Mutant(
         "graceful shutdown",
         "radishd/target.py",
-        "            while not self.machine.idle or self._unread():",
+        "            while not self.machine.idle or self._has_unread_runs():",
         "            while False:",
         _test("test_shutdown"),
     ),
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -21,16 +21,18 @@
     return Fault.CRASH if seen.body == POISON else Fault.NONE
 
 
-def _breaks(gateway: gateway_lib.Gateway, *, ended: bool) -> int:
+def _count_aborted_responses(
+    gateway: gateway_lib.Gateway, *, ended: bool
+) -> int:
     """Returns how many targets broke off, by whether they had ended."""
-    wanted = "yes" if ended else "no"
+    label = "yes" if ended else "no"
     samples = gateway.metrics.crashes.get_all()
     return sum(
-        round(count) for labels, count in samples if labels["ended"] == wanted
+        round(count) for labels, count in samples if labels["ended"] == label
     )
 
 
-def test_a_target_that_ended_is_told_from_one_that_lost_an_answer() -> None:
+def test_a_crash_is_told_apart_from_a_broken_connection() -> None:
     """An operator sees 502 and cannot tell a crash from a broken connection.
 
     Both break the answer off; what ended refuses connections afterwards. The
@@ -44,15 +46,17 @@
                 target.fault = lambda seen: Fault.RESET_AFTER_RUN
             await fleet.call("/book/1", body=b"a booking")
             await fleet.until(
-                lambda: _breaks(gateway, ended=False) == 1, "one is looked into"
+                lambda: _count_aborted_responses(gateway, ended=False) == 1,
+                "one is looked into",
             )
-            assert not _breaks(gateway, ended=True)
+            assert not _count_aborted_responses(gateway, ended=True)
             for target in fleet.targets.values():
                 target.fault = _crash_on_poison
             answer = await fleet.call("/book/1", body=POISON)
             assert answer.status == 502, answer
             await fleet.until(
-                lambda: _breaks(gateway, ended=True) == 1, "one has ended"
+                lambda: _count_aborted_responses(gateway, ended=True) == 1,
+                "one has ended",
             )
 
     fixtures.run(play)
@@ -81,7 +85,7 @@
     return {member.listing.instance for member in members}
 
 
-async def _all_know(
+async def _wait_until_all_usable(
     fleet: fixtures.Fleet, gateways: list[gateway_lib.Gateway]
 ) -> None:
     """Waits until all plain targets that run are used."""
@@ -96,17 +100,18 @@
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> fixtures.Answer:
     """Sends the request once, and starts what it ended again."""
-    before = _breaks(gateway, ended=True)
+    before = _count_aborted_responses(gateway, ended=True)
     answer = await fleet.call("/book/1", body=POISON, gateway=gateway)
     if any(target.ended for target in fleet.targets.values()):
         await fleet.until(
-            lambda: _breaks(gateway, ended=True) > before, "it is noticed"
+            lambda: _count_aborted_responses(gateway, ended=True) > before,
+            "it is noticed",
         )
         await fleet.restart_ended()
     return answer
 
 
-def _arm(fleet: fixtures.Fleet) -> list[str]:
+def _crash_on_every_run(fleet: fixtures.Fleet) -> list[str]:
     """Has the request end whatever runs it; returns a log of its runs."""
     runs: list[str] = []
 
@@ -121,7 +126,7 @@
     return runs
 
 
-def test_a_request_that_ends_targets_is_not_sent_on_and_on() -> None:
+def test_a_request_that_crashes_targets_is_quarantined() -> None:
     """One request ended ten engines in 16 s, seven after the first three.
 
     It came again every one to three seconds through five gateways, and each
@@ -136,11 +141,11 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 3)
-            runs = _arm(fleet)
+            runs = _crash_on_every_run(fleet)
             answers = []
             for gateway in itertools.islice(itertools.cycle(gateways), 12):
                 answers.append(await _crash_once(fleet, gateway))
-                await _all_know(fleet, gateways)
+                await _wait_until_all_usable(fleet, gateways)
             assert len(runs) <= 3 + 3, runs
             for answer in answers[-3:]:
                 assert answer.status == 503, answer
@@ -149,13 +154,13 @@
     fixtures.run(play)
 
 
-async def _convict(
+async def _quarantine_everywhere(
     fleet: fixtures.Fleet, gateways: list[gateway_lib.Gateway]
 ) -> None:
     """Sends the request until it is refused at all gateways."""
     for gateway in itertools.cycle(gateways):
         await _crash_once(fleet, gateway)
-        await _all_know(fleet, gateways)
+        await _wait_until_all_usable(fleet, gateways)
         if all(
             one.crash_gossip.evidence.quarantined(clock.boot_ms())
             for one in gateways
@@ -163,7 +168,7 @@
             return
 
 
-def test_a_gateway_that_starts_refuses_what_the_others_refuse() -> None:
+def test_a_new_gateway_receives_quarantines() -> None:
     """A gateway is replaced while a request that ends targets goes round.
 
     What was known of it lay in the memory of the others, and the new one sent
@@ -173,23 +178,27 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 2)
-            runs = _arm(fleet)
-            await _convict(fleet, gateways)
-            (late,) = await _add_gateways(fleet, 1)
+            runs = _crash_on_every_run(fleet)
+            await _quarantine_everywhere(fleet, gateways)
+            (new_gateway,) = await _add_gateways(fleet, 1)
             await fleet.until(
                 lambda: bool(
-                    late.crash_gossip.evidence.quarantined(clock.boot_ms())
+                    new_gateway.crash_gossip.evidence.quarantined(
+                        clock.boot_ms()
+                    )
                 ),
                 "it has been told",
             )
             before = len(runs)
-            answer = await fleet.call("/book/1", body=POISON, gateway=late)
+            answer = await fleet.call(
+                "/book/1", body=POISON, gateway=new_gateway
+            )
             assert answer.status == 503 and len(runs) == before, answer
 
     fixtures.run(play)
 
 
-def test_an_equal_request_that_ends_well_clears_it_everywhere() -> None:
+def test_a_success_clears_a_suspect_at_all_gateways() -> None:
     """Targets end under a request that is not to blame.
 
     Once they run it to its end it is to be refused nowhere, also at gateways
@@ -199,10 +208,10 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 2)
-            _arm(fleet)
+            _crash_on_every_run(fleet)
             for _ in range(2):
                 await _crash_once(fleet, gateways[0])
-                await _all_know(fleet, gateways)
+                await _wait_until_all_usable(fleet, gateways)
             for target in fleet.targets.values():
                 target.fault = lambda seen: Fault.NONE
             answer = await fleet.call(
@@ -222,7 +231,7 @@
     fixtures.run(play)
 
 
-def test_a_target_that_leaves_ends_under_nobody() -> None:
+def test_aborted_responses_of_draining_targets_are_no_crashes() -> None:
     """Targets are replaced one after the other, and cut what they still run.
 
     A slow request that is sent on to the next one each time would stand at
@@ -232,8 +241,8 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = fleet.gateway
-            leaver = fleet.targets["i-plain0"]
-            leaver.leaving = True
+            draining_target = fleet.targets["i-plain0"]
+            draining_target.leaving = True
             spec = fleet.store.objects["servers"]["i-plain1"]["spec"]
             fleet.store.put("servers", "i-plain1", spec | {"state": "draining"})
             await fleet.until(
@@ -254,7 +263,7 @@
     fixtures.run(play)
 
 
-def test_a_gateway_that_missed_a_clearance_is_told_again() -> None:
+def test_a_missed_clearance_is_sent_again() -> None:
     """A word is lost, and one gateway goes on refusing an innocent request.
 
     It refuses all of them, so it would see none end well itself; what it tells
@@ -263,9 +272,9 @@
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=1) as fleet:
-            knows, missed = await _add_gateways(fleet, 2)
+            cleared, uncleared = await _add_gateways(fleet, 2)
             now_ms = clock.boot_ms()
-            starts = [
+            incarnation_ids = [
                 incarnation.IncarnationId(f"i{number}", 1)
                 for number in range(3)
             ]
@@ -274,23 +283,23 @@
                     incarnation_id, now_ms - ago_ms - 300, now_ms - ago_ms
                 )
                 for incarnation_id, ago_ms in zip(
-                    starts, (9_000, 6_000, 3_000), strict=True
+                    incarnation_ids, (9_000, 6_000, 3_000), strict=True
                 )
             )
             record = crash_evidence.Record("07" * 16, observations)
-            for gateway in (knows, missed):
+            for gateway in (cleared, uncleared):
                 gateway.crash_gossip.merge([record], source="test")
-            knows.crash_gossip.evidence.succeeded("07" * 16, now_ms)
-            assert missed.crash_gossip.quarantine("07" * 16) is not None
+            cleared.crash_gossip.evidence.succeeded("07" * 16, now_ms)
+            assert uncleared.crash_gossip.quarantine("07" * 16) is not None
             await fleet.until(
-                lambda: missed.crash_gossip.quarantine("07" * 16) is None,
+                lambda: uncleared.crash_gossip.quarantine("07" * 16) is None,
                 "it has been told",
             )
 
     fixtures.run(play)
 
 
-def test_after_its_time_one_is_tried_and_the_others_wait_for_it() -> None:
+def test_one_trial_at_a_time_ends_a_quarantine() -> None:
     """A request is refused at all gateways, so none of it can end well.
 
     Let through at once everywhere, all that come would end a target each if
@@ -322,8 +331,10 @@
             record = crash_evidence.Record(fingerprint, observations)
             for gateway in gateways:
                 gateway.crash_gossip.merge([record], source="test")
-            slow = {target: target.timing for target in fleet.targets.values()}
-            for target in slow:
+            targets = {
+                target: target.timing for target in fleet.targets.values()
+            }
+            for target in targets:
                 target.timing = platform_engine.Timing(work_ms=200.0)
             answers: list[fixtures.Answer] = []
 
@@ -352,7 +363,7 @@
     fixtures.run(play)
 
 
-def test_a_site_that_restarts_whole_still_refuses_it() -> None:
+def test_quarantines_survive_a_restart_of_all_gateways() -> None:
     """All gateways restart at once, and the request comes again.
 
     What was known of it lay in their memory alone, so the next three targets
@@ -362,43 +373,47 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 1)
-            runs = _arm(fleet)
+            runs = _crash_on_every_run(fleet)
             # The answer to the write is lost, which proves nothing.
             fleet.store.faults.loses_answers = True
-            await _convict(fleet, gateways)
-            kept = fleet.store.objects.get("crashes", {})
-            await fleet.until(lambda: bool(kept), "it is kept")
+            await _quarantine_everywhere(fleet, gateways)
+            stored = fleet.store.objects.get("crashes", {})
+            await fleet.until(lambda: bool(stored), "it is kept")
             fleet.store.faults.loses_answers = False
             fleet.store.put("crashes", "foreign", {"fingerprint": 7})
             # This one knows no other gateway, nor is it known to any.
-            late = await fleet.add_gateway()
+            new_gateway = await fleet.add_gateway()
             await fleet.until(
                 lambda: (
-                    not late.ready()
+                    not new_gateway.ready()
                     and bool(
-                        late.crash_gossip.evidence.quarantined(clock.boot_ms())
+                        new_gateway.crash_gossip.evidence.quarantined(
+                            clock.boot_ms()
+                        )
                     )
                 ),
                 "it has read what is kept",
             )
             before = len(runs)
-            answer = await fleet.call("/book/1", body=POISON, gateway=late)
+            answer = await fleet.call(
+                "/book/1", body=POISON, gateway=new_gateway
+            )
             assert answer.status == 503 and len(runs) == before, answer
             assert "foreign" in fleet.store.objects["crashes"]
 
     fixtures.run(play)
 
 
-def test_a_refusal_in_an_outage_is_kept_afterwards() -> None:
+def test_a_quarantine_in_a_store_outage_is_stored_afterwards() -> None:
     """The store is away as the third target ends."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 1)
-            _arm(fleet)
+            _crash_on_every_run(fleet)
             for _ in range(2):
                 await _crash_once(fleet, gateways[0])
-                await _all_know(fleet, gateways)
+                await _wait_until_all_usable(fleet, gateways)
             fleet.store.faults.refuses = True
             await fleet.call("/book/1", body=POISON, gateway=gateways[0])
             await fleet.until(
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -140,15 +140,15 @@
     """
 
     async def play() -> None:
-        interval_ms = sidecar_exchange.DEMAND_EVERY_MS
+        interval_ms = sidecar_exchange.DEMAND_INTERVAL_MS
         # The next periodic demand would come after the end of the test.
-        sidecar_exchange.DEMAND_EVERY_MS = 3_600_000
+        sidecar_exchange.DEMAND_INTERVAL_MS = 3_600_000
         try:
             async with fixtures.running_fleet(engines=2, plain=0) as fleet:
                 answer = await fleet.call("/chat/x", adapter="a1")
                 assert answer.status == 200, answer
         finally:
-            sidecar_exchange.DEMAND_EVERY_MS = interval_ms
+            sidecar_exchange.DEMAND_INTERVAL_MS = interval_ms
 
     fixtures.run(play)
 
@@ -408,7 +408,7 @@
         async with fixtures.running_fleet(engines=0) as fleet:
             gateway = fleet.gateway
             before = gateway.budget("counter").part
-            gateway.peers.heard(f"10.0.0.{n}:80" for n in range(40))
+            gateway.peers.record_peers(f"10.0.0.{n}:80" for n in range(40))
             allowance = gateway.own.retry_extra
             assert 41 * gateway.budget("counter").part <= allowance
             assert gateway.budget("counter").part < before
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -76,8 +76,8 @@
     Cause: it took its part of the retry allowance as one of five.
     """
     peers = _peers()
-    peers.heard(("10.0.0.3:90", "10.0.0.4:90"))
-    peers.counted(68, clock.boot_ms())
+    peers.record_peers(("10.0.0.3:90", "10.0.0.4:90"))
+    peers.record_gateway_count(68, clock.boot_ms())
     assert peers.count == 68
 
 
@@ -85,10 +85,10 @@
     """A part of an allowance is not kept small for those that left."""
     peers = _peers()
     now_ms = clock.boot_ms()
-    peers.counted(68, now_ms)
-    peers.counted(12, now_ms + peers_lib.COUNT_MS)
+    peers.record_gateway_count(68, now_ms)
+    peers.record_gateway_count(12, now_ms + peers_lib.COUNT_TTL_MS)
     assert peers.count == 68
-    peers.counted(12, now_ms + peers_lib.COUNT_MS + 1)
+    peers.record_gateway_count(12, now_ms + peers_lib.COUNT_TTL_MS + 1)
     assert peers.count == 12
 
 
@@ -99,12 +99,12 @@
     kept for good, so most of them were of former ones.
     """
     peers = _peers()
-    peers.heard(("10.0.0.1:90", "10.0.0.3:90"))
+    peers.record_peers(("10.0.0.1:90", "10.0.0.3:90"))
     assert peers.addresses == {"10.0.0.2:90", "10.0.0.3:90"}
     now_ms = clock.boot_ms()
-    peers.forget(now_ms)
+    peers.expire(now_ms)
     assert "10.0.0.3:90" in peers.addresses
-    peers.forget(now_ms + peers_lib.FORGET_MS + 1)
+    peers.expire(now_ms + peers_lib.PEER_TTL_MS + 1)
     # No word came at all: the fault is here, and all names are kept.
     assert "10.0.0.3:90" in peers.addresses
 
--- a/tests/fleet/test_rate_limits.py
+++ b/tests/fleet/test_rate_limits.py
@@ -45,7 +45,7 @@
                 gateways.append(await fleet.add_gateway())
             addresses = {one.own.peers for one in gateways}
             for one in gateways:
-                one.peers.heard(addresses)
+                one.peers.record_peers(addresses)
             for one in gateways:
                 await fleet.until(
                     lambda one=one: (
--- a/tests/fleet/test_target_news.py
+++ b/tests/fleet/test_target_news.py
@@ -17,13 +17,13 @@
 CALLS = 12
 
 
-async def _pass(fleet: fixtures.Fleet, time_ms: int) -> None:
+async def _sleep(fleet: fixtures.Fleet, time_ms: int) -> None:
     """Waits until so much time has passed."""
     until_ms = clock.boot_ms() + time_ms
     await fleet.until(lambda: clock.boot_ms() > until_ms, "time passes")
 
 
-async def _call(
+async def _send_requests(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> list[fixtures.Answer]:
     return [
@@ -32,19 +32,19 @@
     ]
 
 
-async def _hear_of_leaving(
+async def _drain_in_outage(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> platform_engine.PlatformEngine:
     """Has a target leave in an outage, and the gateway pass its word on."""
     fleet.store.faults.refuses = True
-    leaver = fleet.targets["i-plain0"]
-    leaver.leaving = True
-    answers = await _call(fleet, gateway)
+    draining_target = fleet.targets["i-plain0"]
+    draining_target.leaving = True
+    answers = await _send_requests(fleet, gateway)
     assert any("server-leaving" in one.headers for one in answers)
-    return leaver
+    return draining_target
 
 
-def test_a_target_whose_answers_say_that_it_leaves_gets_no_more_work() -> None:
+def test_a_target_that_reports_draining_gets_no_requests() -> None:
     """Requests came 2,103 and 2,497 ms after an engine's word that it leaves.
 
     2,000 ms are allowed. The store took no change from 6.5 s on, so what the
@@ -58,17 +58,17 @@
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = await fleet.add_gateway(leaving_ms=LEAVING_MS)
             await fleet.until(lambda: not gateway.ready(), "it is up")
-            leaver = await _hear_of_leaving(fleet, gateway)
-            await _pass(fleet, LEAVING_MS)
-            before = len(leaver.seen)
-            answers = await _call(fleet, gateway)
+            draining_target = await _drain_in_outage(fleet, gateway)
+            await _sleep(fleet, LEAVING_MS)
+            before = len(draining_target.seen)
+            answers = await _send_requests(fleet, gateway)
             assert all(one.status == 200 for one in answers), answers
-            assert len(leaver.seen) == before
+            assert len(draining_target.seen) == before
 
     fixtures.run(play)
 
 
-def test_no_list_brings_back_a_target_that_said_it_leaves() -> None:
+def test_a_listing_does_not_undo_reported_draining() -> None:
     """The store returns with the state that it had before the outage.
 
     The entry that says ``ready`` was written before the target's word, or its
@@ -79,7 +79,7 @@
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = await fleet.add_gateway(leaving_ms=LEAVING_MS)
             await fleet.until(lambda: not gateway.ready(), "it is up")
-            leaver = await _hear_of_leaving(fleet, gateway)
+            draining_target = await _drain_in_outage(fleet, gateway)
             spec = fleet.store.objects[TARGETS]["i-plain0"]["spec"]
             fleet.store.delete(TARGETS, "i-plain0")
             fleet.store.put(TARGETS, "i-plain0", spec)
@@ -92,15 +92,15 @@
                 ),
                 "it has read the list",
             )
-            await _pass(fleet, LEAVING_MS)
-            before = len(leaver.seen)
-            await _call(fleet, gateway)
-            assert len(leaver.seen) == before
+            await _sleep(fleet, LEAVING_MS)
+            before = len(draining_target.seen)
+            await _send_requests(fleet, gateway)
+            assert len(draining_target.seen) == before
 
     fixtures.run(play)
 
 
-def test_a_target_that_asks_for_rest_gets_it() -> None:
+def test_a_target_in_backoff_gets_no_requests() -> None:
     """A full target turns requests away and says for how long it wants none.
 
     Each gateway sent on at once, so a target that had asked for minutes was
@@ -112,17 +112,17 @@
             full = fleet.targets["i-plain0"]
             full.fault = lambda seen: Fault.SHED
             full.rest_s = 600.0
-            answers = await _call(fleet, fleet.gateway)
+            answers = await _send_requests(fleet, fleet.gateway)
             assert all(one.status == 200 for one in answers), answers
-            await _pass(fleet, 500)
+            await _sleep(fleet, 500)
             before = len(full.seen)
-            await _call(fleet, fleet.gateway)
+            await _send_requests(fleet, fleet.gateway)
             assert len(full.seen) - before <= 2
 
     fixtures.run(play)
 
 
-def test_where_all_targets_rest_callers_are_told_how_long() -> None:
+def test_callers_get_retry_after_if_all_targets_are_in_backoff() -> None:
     """All targets want nothing for a while; a caller is refused at once.
 
     Sent on all the same, each request would be one more that they turn away.
@@ -133,10 +133,10 @@
             for target in fleet.targets.values():
                 target.fault = lambda seen: Fault.SHED
                 target.rest_s = 600.0
-            await _call(fleet, fleet.gateway)
-            await _pass(fleet, 500)
+            await _send_requests(fleet, fleet.gateway)
+            await _sleep(fleet, 500)
             before = sum(len(one.seen) for one in fleet.targets.values())
-            answers = await _call(fleet, fleet.gateway)
+            answers = await _send_requests(fleet, fleet.gateway)
             after = sum(len(one.seen) for one in fleet.targets.values())
             assert after - before <= 2 * len(fleet.targets)
             for answer in answers[-1:]:
@@ -147,22 +147,22 @@
     fixtures.run(play)
 
 
-def test_another_start_of_a_target_is_used_again() -> None:
+def test_a_new_incarnation_of_a_drained_target_is_used() -> None:
     """A target that left starts again under its name, and takes work."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = await fleet.add_gateway(leaving_ms=LEAVING_MS)
             await fleet.until(lambda: not gateway.ready(), "it is up")
-            leaver = await _hear_of_leaving(fleet, gateway)
-            leaver.restart(leaver.born_ms + 1)
+            draining_target = await _drain_in_outage(fleet, gateway)
+            draining_target.restart(draining_target.born_ms + 1)
             address = fleet.store.objects[TARGETS]["i-plain0"]["spec"][
                 "address"
             ]
             fleet.store.put(
                 TARGETS,
                 "i-plain0",
-                leaver.listing(platform_site.PLAIN, address, "north"),
+                draining_target.listing(platform_site.PLAIN, address, "north"),
             )
             fleet.store.faults.refuses = False
             await fleet.until(
@@ -190,7 +190,7 @@
     return member
 
 
-def test_a_rest_lasts_as_long_as_was_asked_for() -> None:
+def test_a_backoff_lasts_as_long_as_requested() -> None:
     """An ejection ends soon and spares the last target; a rest does neither.
 
     Sent on when the ejection ended, a request reached the target every other
@@ -211,22 +211,24 @@
     assert first in roster.usable(platform_site.PLAIN, later_ms)
 
 
-def test_who_said_that_it_leaves_is_remembered_within_bounds() -> None:
+def test_draining_incarnations_are_remembered_within_bounds() -> None:
     """Starts come and go for years; memory holds the newest words."""
     roster = roster_lib.Roster(2_500)
     count = 3 * roster_lib.MAX_REMEMBERED_TARGETS
-    starts = [
+    incarnation_ids = [
         incarnation.IncarnationId(f"i{number}", 1) for number in range(count)
     ]
-    for incarnation_id in starts:
+    for incarnation_id in incarnation_ids:
         assert roster.mark_draining(incarnation_id)
         assert not roster.mark_draining(incarnation_id)
-    remembered = [one for one in starts if roster.is_draining(one)]
-    assert remembered == starts[-roster_lib.MAX_REMEMBERED_TARGETS :]
-    assert not roster.is_draining(incarnation.IncarnationId(starts[-1].name, 2))
+    remembered = [one for one in incarnation_ids if roster.is_draining(one)]
+    assert remembered == incarnation_ids[-roster_lib.MAX_REMEMBERED_TARGETS :]
+    assert not roster.is_draining(
+        incarnation.IncarnationId(incarnation_ids[-1].name, 2)
+    )
 
 
-def test_an_answer_speaks_only_of_who_gave_it() -> None:
+def test_signals_apply_only_to_the_target_that_answered() -> None:
     """A start that took an address over refuses what was meant for another."""
     leaving = (b"server-leaving", b"1")
     for headers, status, expected in (
@@ -247,7 +249,7 @@
         assert front.target_signals(head, "mine") == expected, headers
 
 
-def test_the_process_beside_an_engine_tells_that_it_leaves() -> None:
+def test_a_sidecar_reports_that_its_engine_is_draining() -> None:
     """A gateway that has no answer of the engine learns of it all the same."""
 
     async def play() -> None:
