--- a/packages/radishd/src/radishd/__init__.py
+++ b/packages/radishd/src/radishd/__init__.py
@@ -1,1 +1,1 @@
-"""The radishstack daemon: entry and target roles, on anyio."""
+"""The radishstack daemon: the process roles, on anyio."""
--- a/packages/radishd/src/radishd/cli.py
+++ b/packages/radishd/src/radishd/cli.py
@@ -53,8 +53,8 @@
     anyio.run(run_role, settings, path)
 
 
-# The module of each role is imported only where it runs: the others would
-# cost each process some ten megabytes for code that it never uses.
+# A process imports only the module of its own role. Importing the others would
+# cost it about ten megabytes of memory for code that it never uses.
 _ROLES = {
     settings_lib.Role.ENTRY: "radishd.entry",
     settings_lib.Role.TARGET: "radishd.target",
@@ -65,11 +65,11 @@
 
 
 async def run_role(settings: settings_lib.Settings, path: pathlib.Path) -> None:
-    """Runs one role until a signal has drained it.
+    """Runs one role until a signal stops it and it has drained.
 
     Args:
         settings: Settings of the process.
-        path: Where they were read, and are read again on SIGHUP.
+        path: Settings file, which is read again on SIGHUP.
     """
     stop = anyio.Event()
     reloads = signals.ReloadHook()
--- a/packages/radishd/src/radishd/entry.py
+++ b/packages/radishd/src/radishd/entry.py
@@ -1,4 +1,4 @@
-"""The entry role: takes callers' requests to targets; keeps soft state."""
+"""The entry role: forwards callers' requests to targets; keeps soft state."""
 
 import functools
 import json
@@ -55,7 +55,7 @@
 
         Args:
             settings: Its settings, of the role entry.
-            tasks: Where its work runs.
+            tasks: Task group that runs its work.
             metrics: Its metrics.
             control: Its control socket.
             random_source: Its random source.
@@ -102,7 +102,7 @@
     async def app(
         self, scope: web.Scope, receive: web.Receive, send: web.Send
     ) -> None:
-        """The ASGI application of the callers' port."""
+        """ASGI application that serves callers."""
         if scope["type"] != "http":
             return
         accepted_at_ms = clock.now_ms()
@@ -144,7 +144,8 @@
         )
         if failure is not None:
             if headers.get("idempotency-key") and failure.retry_after_ms:
-                # An earlier copy of it may have run; only its home knows.
+                # An earlier request with this key may have run; only the
+                # key's home target knows.
                 proof = result.Executed.UNKNOWN
                 return result.Failure(
                     failure.code,
@@ -207,7 +208,7 @@
             caller_lib.log_outcome(caller, caller.failure, took_ms)
 
     def _handle_exceptions(self, group: ExceptionGroup) -> result.Failure:
-        """Logs what stopped one request; the others go on."""
+        """Logs exceptions that failed one request; the others continue."""
         logs.exception("request_broke")
         code = result.INTERNAL
         for error in group.exceptions:
@@ -219,7 +220,7 @@
     async def _watch_caller(
         self, caller: caller_lib.Caller, receive: web.Receive
     ) -> None:
-        """Notices a caller that leaves and a deadline that passes."""
+        """Interrupts a request on disconnect or after its deadline."""
         remaining_ms = caller.deadline_at_ms - clock.now_ms()
         grace_ms = caller_lib.DEADLINE_GRACE_MS
         with anyio.move_on_after((remaining_ms + grace_ms) / MS_PER_S):
@@ -230,7 +231,7 @@
         caller.interrupt(caller_lib.DeadlineExceeded())
 
     def count(self, failure: result.Failure | None) -> None:
-        """Counts a request's one outcome."""
+        """Counts the outcome of a request; called once per request."""
         number = failure.code.number if failure else 0
         self.metrics.requests.inc({"code": str(number)})
         if number:
@@ -239,7 +240,7 @@
     async def rank(
         self, resolution: resolve.Resolution, held: holder_lib.Held
     ) -> list[str]:
-        """Orders the candidates of a request, probing where it helps."""
+        """Ranks the candidates of a request, probing some of them first."""
         candidates = list(resolution.candidates)
         if resolution.key:
             return candidates
@@ -285,13 +286,13 @@
         await send({"type": "http.response.body", "body": body})
 
     async def expire_router_state(self) -> None:
-        """Drops old beliefs now and then."""
+        """Drops outdated router state at an interval, until cancelled."""
         while True:
             await anyio.sleep(EXPIRE_INTERVAL_MS / MS_PER_S)
             self.router.forget_old(clock.now_ms())
 
     async def watch_vms(self) -> None:
-        """Learns from the platform's list which targets leave."""
+        """Watches the platform's VM list for targets that are draining."""
         revision: int | None = None
         while True:
             listed = await self.store.list_vms(watch=revision)
@@ -340,10 +341,10 @@
         }
 
     async def drain(self) -> int:
-        """Tells the balancer, then finishes what is in flight.
+        """Reports unready to the balancer, then waits for open requests.
 
         Returns:
-            How many requests were cut at the limit.
+            The number of requests aborted at the time limit.
         """
         self.draining = True
         await anyio.sleep(self.own.unready_ms / MS_PER_S)
@@ -363,7 +364,7 @@
 
 
 def list_models(document: document_lib.Document) -> list[dict[str, str]]:
-    """Lists what callers may name as ``model``."""
+    """Lists the values that callers may send as ``model``."""
     names = [
         service.name
         for service in document.services.values()
@@ -384,13 +385,13 @@
     random_source: random.Random | None = None,
     task_status: anyio.abc.TaskStatus[Entry] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Runs an entry daemon until it is told to stop, then drains it.
+    """Runs an entry daemon until ``stop`` is set, then drains it.
 
     Args:
         settings: Its settings.
         stop: Set to start the drain.
         random_source: Its random source.
-        task_status: Given the daemon once it listens.
+        task_status: Receives the daemon once it listens.
     """
     own = settings.entry
     metrics = metrics_lib.Metrics(name=settings.name)
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -1,8 +1,8 @@
-"""The gateway role: takes callers' requests to registered targets.
+"""The gateway role: forwards callers' requests to registered targets.
 
 It keeps soft state only. Configuration, targets and announced versions are
-read from the platform's store, and from other gateways while the store does
-not answer; what engines hold is told by the process beside each.
+read from the platform's store, or from other gateways during a store outage.
+The sidecar beside each engine reports which adapters the engine holds.
 """
 
 from collections.abc import Iterable
@@ -54,19 +54,19 @@
 CONNECT_TIMEOUT_MS = 400
 SWEEP_INTERVAL_MS = 500
 VIEW_TTL_MS = 30_000
-# The balancer takes a VM out after two misses a second apart; until then it
-# sends new connections, and for as long these are served.
+# The balancer removes a VM after two failed checks a second apart. It opens new
+# connections until then, so a draining gateway serves for this long.
 UNREADY_MS = 2_600
 EXIT_MARGIN_MS = 700
-# Part of the time until the forced end for which a request may wait for its
-# adapter; the rest is for its answer. One that waits on would be cut with the
-# process, though it was read and never sent.
+# Fraction of the shutdown time for which a request may wait for its adapter;
+# the rest is for its response. A request that waited longer would be aborted
+# when the process exits, although it was read and never sent to a target.
 ADAPTER_WAIT_FRACTION = 0.5
-# Gateways assumed to share the retry allowance while fewer are known, as in
+# Number of gateways assumed to share an allowance while fewer are known, as in
 # the first second after a start.
 MIN_GATEWAYS = 12
-# Part of the allowance that is used, so that requests that are counted in
-# another window elsewhere do not break it.
+# Fraction of the retry budget that is used. Gateways count requests in
+# different windows, and the margin keeps their sum within the budget.
 BUDGET_FRACTION = 0.7
 
 
@@ -111,7 +111,7 @@
             self.pool,
             self.crash_watch,
             log,
-            # Requests that wait for a load there are to choose anew.
+            # Requests waiting for a load on that target choose another one.
             on_draining=self.notifier.notify_all,
         )
         self.draining = False
@@ -206,17 +206,17 @@
 
     def _on_new_incarnation(self, member: roster_lib.Member) -> None:
         """Handles an incarnation of a target that was not known before."""
-        # Connections to a start before it lead nowhere; a request that must
-        # not run twice would be lost on one.
+        # Connections to the previous incarnation are dead. A request that must
+        # not run twice would be lost on one, as it is not sent again.
         self.pool.drop(member.listing.address)
         self.load_requests.notify_new_incarnation(member)
 
     def _on_target_crash(self, crash: crash_lib.Crash) -> None:
-        """Handles a crash of a target that was seen here."""
+        """Handles a target crash that this gateway observed."""
         self.crash_gossip.crashed(crash)
 
     def _other_gateways(self) -> list[fleet_socket.Address]:
-        """Returns where the other gateways take datagrams."""
+        """Returns the datagram addresses of the other gateways."""
         _, port = settings_lib.split_address(self.own.control)
         return [
             (settings_lib.split_address(address)[0], port)
@@ -246,9 +246,9 @@
             await self.socket.send_all(addresses, report)
 
     def _quarantined(self, record: crash_evidence.Record) -> None:
-        """Handles a request that is quarantined from now on."""
+        """Handles a newly quarantined request."""
         self.kept_crashes.keep(record)
-        # Those that wait for an adapter are to be refused at once, too.
+        # Equal requests that wait for an adapter must be rejected at once, too.
         self.notifier.notify_all()
 
     def _rewrite_crash_records(self) -> None:
@@ -260,7 +260,7 @@
         if self.server is not None:
             web.set_idle_timeout(self.server, limits.idle_timeout_ms)
 
-    # What a request asks of the gateway.
+    # Methods for requests, see ``gateway_interface``.
 
     def pick_service(self, route: route_table.Route) -> str:
         """Picks a service of a route by weight."""
@@ -272,13 +272,13 @@
         return self.random.choices(route.shares, weights)[0].service
 
     def random_delay_ms(self, bounds_ms: tuple[int, int]) -> int:
-        """Returns a time within bounds, so that returners do not meet."""
+        """Returns a random time within bounds, to spread out retries."""
         return round(self.random.uniform(*bounds_ms))
 
     def budget(self, service: str) -> shared_budget.SharedBudget:
-        """Returns this gateway's part of a service's retry budget."""
-        # As many as are known now: a part that was taken while fewer were
-        # known would let all of them together send several times too much.
+        """Returns this gateway's share of a service's retry budget."""
+        # Uses the number of gateways known now. With shares computed while
+        # fewer were known, all together would send several times the budget.
         gateways = max(MIN_GATEWAYS, self.peers.count)
         part = self.own.retry_extra * BUDGET_FRACTION / gateways
         budget = self.budgets.get(service)
@@ -293,7 +293,7 @@
         return budget
 
     def has_other_target(self, service: str, member: roster_lib.Member) -> bool:
-        """Whether another target could take a request of a service."""
+        """Whether another target of a service could accept a request."""
         now_ms = clock.boot_ms()
         return any(
             one is not member and self.rate_limits.may_send(one, now_ms)
@@ -314,9 +314,10 @@
     def handle_datagram(
         self, datagram: fleet_wire.Datagram, sender: fleet_socket.Address
     ) -> None:
-        """Handles a datagram of another gateway or of a sidecar."""
+        """Handles a datagram from another gateway or a sidecar."""
         if isinstance(datagram, fleet_wire.CrashReport):
-            # The sender may have started after the last update of the peers.
+            # The sender may have started after the last update of the peer
+            # addresses.
             _, port = settings_lib.split_address(self.own.peers)
             self.peers.record_peers((f"{sender[0]}:{port}",))
             self.crash_gossip.handle_report(datagram, sender)
@@ -330,10 +331,10 @@
             self.peers.record_peers((name,))
             self.usage_caps.handle(datagram, name)
 
-    # Its own life.
+    # Lifecycle.
 
     async def sweep(self) -> None:
-        """Drops what is too old, now and then."""
+        """Drops expired state at an interval, until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_MS / MS_PER_S)
             now_ms = clock.boot_ms()
@@ -354,7 +355,7 @@
             self.load_requests.forget(addresses)
 
     def on_process_pause(self, late_ms: int) -> None:
-        """Distrusts what was believed before this process stood still."""
+        """Discards state that a pause of this process made unreliable."""
         self.metrics.pauses.inc({})
         self.log.must("process_paused", late_ms=late_ms)
         self.pool.drop_all()
@@ -374,7 +375,7 @@
         self.log.must("reload", config=self.table.version)
 
     def ready(self) -> str:
-        """Returns why it is not ready, empty if it is."""
+        """Returns why the gateway is not ready, empty if it is."""
         if self.draining:
             return "draining"
         if not self.table.version:
@@ -384,7 +385,7 @@
         return ""
 
     def status(self) -> dict[str, Any]:
-        """Returns what ``/status`` answers."""
+        """Returns the content of ``/status``."""
         now_ms = clock.boot_ms()
         quarantined = self.crash_gossip.evidence.quarantined(now_ms)
         return {
@@ -429,13 +430,13 @@
     reloads: signals.ReloadHook,
     task_status: anyio.abc.TaskStatus[Gateway] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Runs a gateway until it is told to stop, then drains it.
+    """Runs a gateway until ``stop`` is set, then drains it.
 
     Args:
         settings: Its settings.
         stop: Set to start the drain.
-        reloads: Tells it of settings that were read again.
-        task_status: Given the gateway once it listens.
+        reloads: Passes reloaded settings to the gateway.
+        task_status: Receives the gateway once it listens.
     """
     own = settings.gateway
     metrics = metrics_lib.Metrics(name=settings.name)
@@ -514,7 +515,7 @@
 
 
 async def _drain(gateway: Gateway) -> None:
-    """Serves until the balancer has noticed, then finishes what is here."""
+    """Serves until the balancer removes the VM, then finishes open requests."""
     began_ms = clock.boot_ms()
     gateway.draining = True
     gateway.waits_end_at_ms = began_ms + round(
--- a/packages/radishd/src/radishd/peers.py
+++ b/packages/radishd/src/radishd/peers.py
@@ -1,4 +1,4 @@
-"""Other gateways: who they are, and what one takes over from another."""
+"""Other gateways: their addresses, and queries for what they know."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -13,16 +13,16 @@
 from radishd.process import logs
 from radishd.process import web
 
-# While the store does not answer, one peer is asked this often.
+# During a store outage, one peer is queried at this interval.
 QUERY_INTERVAL_MS = 700
 QUERY_TIMEOUT_MS = 800
 CONNECT_TIMEOUT_MS = 300
 MAX_PEERS = 1_024
-# A gateway that no word has named for so long is taken for replaced. Words
-# name a few gateways each, all of them within some seconds.
+# A gateway that no status update has named for this long counts as replaced.
+# Each update names a few gateways, so naming all of them takes some seconds.
 PEER_TTL_MS = 60_000
-# How long the largest count of gateways that a word told is believed: idle
-# gateways are told once a second, and some words are lost.
+# How long the largest reported gateway count stays valid. Idle gateways receive
+# a status update once a second, and some updates are lost.
 COUNT_TTL_MS = 5_000
 PATH = "/known"
 MS_PER_S = 1_000
@@ -31,7 +31,7 @@
 
 
 class Peers:
-    """The other gateways that are known here."""
+    """Other gateways that this gateway knows."""
 
     def __init__(
         self,
@@ -44,8 +44,8 @@
 
         Args:
             own: This gateway's own address, which is no peer.
-            seeds: Addresses to begin with; they may be stale.
-            random_source: Chooses whom to ask.
+            seeds: Initial addresses, which may be stale.
+            random_source: Chooses the peer to query.
         """
         self._own = own
         self._random = random_source
@@ -56,19 +56,19 @@
 
     @property
     def addresses(self) -> set[str]:
-        """Where the other gateways are asked."""
+        """Addresses at which other gateways can be queried."""
         return self._seeds | self._last_named_at_ms.keys()
 
     @property
     def count(self) -> int:
-        """How many gateways there are, as far as is known, this one too."""
+        """Known number of gateways, including this one."""
         return max(len(self.addresses) + 1, self._count)
 
     def count_at_least(self, min_count: int, now_ms: int) -> int:
-        """Returns how many gateways there are, or a floor while few told.
+        """Returns the number of gateways, assuming a minimum if in doubt.
 
         Args:
-            min_count: What is assumed while no sidecar has told their number.
+            min_count: Minimum while no sidecar has reported a recent count.
             now_ms: Now.
         """
         if self._count and now_ms - self._count_updated_at_ms <= COUNT_TTL_MS:
@@ -76,10 +76,11 @@
         return max(min_count, self.count)
 
     def record_gateway_count(self, count: int, now_ms: int) -> None:
-        """Records how many gateways a sidecar receives demands from.
+        """Records from how many gateways a sidecar receives demand.
 
-        The count is known with the first words, names only some words later;
-        a part of a shared allowance that is taken meanwhile is too large.
+        The first status update contains the count, but the names take several
+        updates. A share of an allowance computed from the names known until
+        then would be too large.
         """
         is_old = now_ms - self._count_updated_at_ms > COUNT_TTL_MS
         if count >= self._count or is_old:
@@ -87,7 +88,7 @@
             self._count_updated_at_ms = now_ms
 
     def record_peers(self, addresses: Iterable[str]) -> None:
-        """Learns of gateways that a process beside an engine hears."""
+        """Records addresses of gateways from messages or reloaded settings."""
         now_ms = clock.boot_ms()
         for address in addresses:
             known = address in self._last_named_at_ms
@@ -96,10 +97,11 @@
         self._last_named_at_ms.pop(self._own, None)
 
     def expire(self, now_ms: int) -> None:
-        """Drops gateways that are named no more.
+        """Drops gateways that are no longer named.
 
-        With VMs replaced every day most names would be of former ones; asked
-        in an outage they do not answer. While no word comes, all are kept.
+        VMs are replaced every day, so most addresses would belong to former
+        gateways, which answer no query in a store outage. While no address
+        is named at all, all are kept.
         """
         newest_ms = max(self._last_named_at_ms.values(), default=0)
         if now_ms - newest_ms > PEER_TTL_MS:
@@ -112,7 +114,7 @@
         }
 
     async def query_peer(self) -> dict[str, Any] | None:
-        """Asks one peer what it knows."""
+        """Queries a random peer for the objects that it knows."""
         if not self.addresses:
             return None
         address = self._random.choice(sorted(self.addresses))
@@ -139,10 +141,10 @@
 
 
 def make_app(export_objects: Callable[[], dict[str, Any]]) -> web.App:
-    """Makes the application that peers ask.
+    """Makes the application that answers queries of peers.
 
     Args:
-        export_objects: Returns what is known here.
+        export_objects: Returns the objects known to this gateway.
     """
 
     async def app(
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -1,8 +1,8 @@
 """The sidecar role: the process beside one engine.
 
-It alone gives the engine its orders, follows the demand that gateways tell
-it, and tells them what the engine holds. It keeps soft state only: a restart
-loses nothing that the engine's own report does not bring back.
+Only the sidecar sends orders to its engine. It receives the demand of gateways
+and reports to them which adapters the engine holds. It keeps soft state only:
+after a restart, the engine's own report restores what was lost.
 """
 
 from collections.abc import Mapping
@@ -68,7 +68,7 @@
 
     @property
     def instance(self) -> str:
-        """The start of the engine that orders are for, empty if unknown."""
+        """The engine incarnation that orders are for, empty if unknown."""
         return self.incarnations.current
 
     def handle_update(
@@ -107,7 +107,7 @@
         return self.report.residents if self.report is not None else {}
 
     async def run(self) -> None:
-        """Keeps the engine until cancelled."""
+        """Polls the engine and sends it orders until cancelled."""
         while True:
             await self._poll_engine()
             poll_ms = self.keeper.next_poll_ms(clock.boot_ms())
@@ -149,7 +149,7 @@
             )
 
     async def _send_orders(self) -> None:
-        """Gives orders one by one, each on a new report."""
+        """Sends orders one by one, each based on a new report."""
         while self.instance:
             order = self.keeper.decide(clock.boot_ms())
             if order is None:
@@ -170,8 +170,8 @@
                 return
             self._observe(report)
             if self._is_status_due(clock.boot_ms()):
-                # An engine that leaves orders unanswered would keep this
-                # process from telling, and gateways would take it for gone.
+                # An engine that does not answer orders would otherwise delay
+                # status updates, and gateways would treat it as gone.
                 await self._send_status()
 
     def _is_status_due(self, now_ms: int) -> bool:
@@ -237,7 +237,7 @@
             await self.socket.send_all(recipient_group.addresses, update)
 
     def on_process_pause(self, late_ms: int) -> None:
-        """Distrusts what was believed before this process stood still."""
+        """Discards state that a pause of this process made unreliable."""
         self.metrics.pauses.inc({})
         self.log.must("process_paused", late_ms=late_ms)
         self.engine.drop_connections()
@@ -250,11 +250,11 @@
         self.log.must("reload")
 
     def ready(self) -> str:
-        """Returns why it is not ready, empty if it is."""
+        """Returns why the sidecar is not ready, empty if it is."""
         return "engine does not answer" if self.engine_lost else ""
 
     def status(self) -> dict[str, Any]:
-        """Returns what ``/status`` answers."""
+        """Returns the content of ``/status``."""
         report = self.report
         return {
             "name": self.settings.name,
@@ -281,13 +281,13 @@
     reloads: signals.ReloadHook,
     task_status: anyio.abc.TaskStatus[Sidecar] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Runs the process until it is told to stop.
+    """Runs the process until ``stop`` is set.
 
     Args:
         settings: Its settings.
         stop: Set to stop it.
-        reloads: Tells it of settings that were read again.
-        task_status: Given the process once it listens.
+        reloads: Passes reloaded settings to the sidecar.
+        task_status: Receives the sidecar once it listens.
     """
     own = settings.sidecar
     metrics = metrics_lib.Metrics(name=settings.name)
--- a/packages/radishd/src/radishd/sidecar_exchange.py
+++ b/packages/radishd/src/radishd/sidecar_exchange.py
@@ -21,7 +21,7 @@
 from radishd.process import settings as settings_lib
 
 MS_PER_S = 1_000
-# A sidecar believes a demand for five times as long.
+# A sidecar treats a demand as valid for five times as long.
 DEMAND_INTERVAL_MS = 400
 
 
@@ -44,18 +44,18 @@
         log: decision_log.DecisionLog,
         on_incarnation: Callable[[roster_lib.Member], None],
     ) -> None:
-        """Starts without a socket; until it is attached, nothing is sent.
+        """Starts without a socket; nothing is sent until one is attached.
 
         Args:
             settings: Settings of the gateway.
             table: Returns the route table in force.
-            roster: Targets that are known.
-            placement: Learns what engines hold.
-            peers: Learns of other gateways.
-            evidence: Learns of engines that leave.
+            roster: Known targets.
+            placement: Records which adapters engines hold.
+            peers: Records other gateways.
+            evidence: Records which engines are draining.
             notifier: Wakes requests that wait for an adapter.
-            log: Where decisions are logged.
-            on_incarnation: Called with a target whose present incarnation
+            log: Decision log.
+            on_incarnation: Called with a target whose current incarnation
                 was not known before.
         """
         self._name = settings.name
@@ -74,7 +74,7 @@
         )
 
     def attach(self, socket: fleet_socket.FleetSocket) -> None:
-        """Sends through a socket from now on."""
+        """Sets the socket that datagrams are sent through."""
         self._socket = socket
 
     def _engine_spec(
@@ -86,7 +86,7 @@
         return spec
 
     async def send_demand(self, member: roster_lib.Member) -> None:
-        """Sends one sidecar what is used and wanted at its engine."""
+        """Sends one sidecar the uses and load requests for its engine."""
         spec = self._engine_spec(member)
         if spec is None or self._socket is None or member.gone:
             return
@@ -156,7 +156,7 @@
             )
             self._on_incarnation(member)
         if incarnation_id.is_other(member.listing.incarnation_id):
-            # An incarnation that is not listed yet.
+            # The incarnation is not listed yet.
             return
         if datagram.leaving:
             self._evidence.mark_draining(incarnation_id, source="sidecar")
@@ -177,8 +177,8 @@
         )
         self._placement.handle_update(member.listing.address, view)
         if before is None:
-            # The first update of this engine: requests may wait for any
-            # adapter.
+            # This is the first update for the engine, so requests may be
+            # waiting for any adapter.
             self._notifier.notify_all()
             return
         for adapter, version in view.residents.items():
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -1,4 +1,4 @@
-"""The target role: the one process that gives its target work and orders."""
+"""The target role: the only process that sends its target work and orders."""
 
 import contextlib
 import functools
@@ -52,7 +52,7 @@
 
 
 class TargetProcess:
-    """Drives the decisions of one target with real sockets and clocks."""
+    """Connects the state machine of one target to sockets and clocks."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
 
         Args:
             settings: Its settings, of the role target.
-            tasks: Where its work runs.
+            tasks: Task group that runs its work.
             metrics: Its metrics.
             random_source: Its random source.
         """
@@ -101,7 +101,8 @@
                 max_queued=own.max_queued,
                 max_parallel_loads=own.max_parallel_loads,
                 quarantine_ms=own.quarantine_ms,
-                # Orders of an earlier process in this slot must be older.
+                # Must exceed the order numbers of earlier processes in this
+                # slot.
                 first_order=clock.unix_ms() * ORDER_NUMBERS_PER_MS,
             ),
             now_ms=clock.now_ms(),
@@ -124,7 +125,7 @@
         self.handle(event_lib.VersionActivated(held))
 
     def handle(self, event: event_lib.Event) -> None:
-        """Feeds an event to the decisions and performs what they say."""
+        """Passes an event to the state machine and performs its actions."""
         try:
             actions = self.machine.handle(event, clock.now_ms())
         except invariant.InvariantBrokenError as error:
@@ -135,7 +136,7 @@
             target_actions.perform(action, self)
 
     def load(self, adapter: str = "") -> load_lib.Load:
-        """Returns this target's word on itself."""
+        """Returns the load report of this target."""
         return self.machine.report(adapter, self.identity, clock.now_ms())
 
     def submit(
@@ -157,13 +158,13 @@
         self._work_arrived.set()
 
     async def _submit_later(self, attempt: attempt_lib.Attempt) -> None:
-        """Waits for the version an attempt was resolved against."""
+        """Submits an attempt after waiting for its configuration version."""
         await self.configuration.wait_for(attempt.version, VERSION_WAIT_MS)
         if attempt.attempt_id in self.servings:
             self.handle(event_lib.Submitted(attempt))
 
     def attach(self, body: frame.Attach, reader: serving_lib.ReaderId) -> None:
-        """Resumes a run for a reader whose connection was cut."""
+        """Resumes a run for a reader whose connection was lost."""
         owner_id = self.owners.get(body.attempt_id, b"")
         serving = self.servings.get(owner_id)
         if serving is None or not serving.attach(reader, body.next_number):
@@ -177,13 +178,13 @@
         serving.flush(self.load())
 
     def serve_version(self, reader: serving_lib.ReaderId) -> bytes:
-        """Sends a peer the whole version held here, as a run of its own.
+        """Sends a peer the whole configuration as a separate run.
 
         Args:
-            reader: Who asked.
+            reader: Reader that requested it.
 
         Returns:
-            The run's id, by which the reader leaves it.
+            The id of the run, which detaches the reader later.
         """
         run_id = secrets.token_bytes(frame.ATTEMPT_ID_BYTES)
         serving = serving_lib.ServedRun(adapter="", keep_bytes=0)
@@ -203,12 +204,12 @@
     def detach_reader(
         self, attempt_id: bytes, reader: serving_lib.ReaderId, *, cut: bool
     ) -> None:
-        """Records that a reader is gone.
+        """Detaches a reader from its run.
 
         Args:
-            attempt_id: What it read.
+            attempt_id: Attempt whose run it read.
             reader: The reader.
-            cut: Whether its connection was cut, so that it may come back.
+            cut: Whether its connection was lost, so that it may reconnect.
         """
         owner_id = self.owners.get(attempt_id, b"")
         serving = self.servings.get(owner_id)
@@ -229,7 +230,7 @@
             self.drop(owner_id)
 
     def drop(self, owner_id: bytes) -> None:
-        """Forgets a run and whoever reads it."""
+        """Drops a run and the attempts that read it."""
         serving = self.servings.pop(owner_id, None)
         self.owners.pop(owner_id, None)
         if serving is not None and serving.run.keep_bytes:
@@ -275,7 +276,7 @@
         self.handle(event_lib.RunEnded(attempt.attempt_id, ran))
 
     def _keep_answer(self, serving: serving_lib.ServedRun) -> None:
-        """Keeps the answer of a key, within the bound of all kept ones."""
+        """Keeps the answer for a key, within the limit for all answers."""
         serving.kept_bytes = serving.run.bytes_held
         self.kept_bytes += serving.kept_bytes
         for other in self.servings.values():
@@ -309,7 +310,8 @@
                         serving.run.append(event)
                         serving.flush(load)
                         if serving.is_backlogged:
-                            # Silence is now the reader's, not the target's.
+                            # The reader is slow, so idle time must not count
+                            # against the target.
                             serving.heard_at_ms = 0
                             await serving.wait_for_readers()
                     case engine_call.Head():
@@ -321,11 +323,11 @@
         return None
 
     async def run_load(self, action: event_lib.StartLoad) -> None:
-        """Performs a load order and finds out what became of it."""
+        """Sends a load order and determines its outcome."""
         source = self._source_of(action.adapter)
         answer = await self.engine.load(action.adapter, source, action.order)
         if isinstance(answer, result.Failure):
-            # The answer may be lost and the order have taken effect.
+            # The order may have taken effect although its answer was lost.
             answer = (
                 await self._confirm_residency(action.adapter, True) or answer
             )
@@ -348,7 +350,7 @@
         self.handle(event_lib.Loaded(action.adapter, answer, action.order))
 
     async def run_unload(self, action: event_lib.StartUnload) -> None:
-        """Performs an unload order and finds out what became of it."""
+        """Sends an unload order and determines its outcome."""
         answer = await self.engine.unload(action.adapter, action.order)
         if isinstance(answer, result.Failure):
             answer = (
@@ -369,14 +371,14 @@
         self.handle(event_lib.Unloaded(action.adapter, answer, action.order))
 
     async def _confirm_residency(self, adapter: str, resident: bool) -> str:
-        """Returns the incarnation that does or does not hold an adapter.
+        """Returns the engine's incarnation if residency is as expected.
 
         Args:
             adapter: ``name@version``.
-            resident: Whether it should be resident.
+            resident: Whether the adapter should be resident.
 
         Returns:
-            The incarnation, empty if it is otherwise or not known.
+            The incarnation, empty if the residency differs or is unknown.
         """
         state = await self.engine.get_state()
         if isinstance(state, result.Failure):
@@ -385,7 +387,7 @@
         return state.incarnation if is_confirmed else ""
 
     def _check_incarnation(self, answering: str, ordered: str) -> None:
-        """Looks at once at an engine that has restarted unseen."""
+        """Polls the engine at once if a new incarnation answered an order."""
         if answering != ordered:
             self._poll_requested.set()
 
@@ -400,7 +402,7 @@
         return ""
 
     async def ask_prior_homes(self, action: event_lib.AskPriorHomes) -> None:
-        """Asks former homes about a key and reports their worst answer."""
+        """Asks prior homes about a key and reports the worst answer."""
         answers: list[ledger_lib.SealReply] = []
 
         async def ask(name: str) -> None:
@@ -437,7 +439,7 @@
         return ledger_lib.SealReply.UNKNOWN
 
     async def watch_engine(self) -> None:
-        """Asks the engine for its state, again and again."""
+        """Polls the state of the engine until cancelled."""
         failed_polls = 0
         while True:
             asked_at_ms = clock.now_ms()
@@ -450,9 +452,9 @@
             else:
                 failed_polls = 0
                 if state.incarnation != self.machine.residency.incarnation:
-                    # An order of this slot's former process may still be on
-                    # its way and unload what is granted here. An engine that
-                    # checks fencing numbers refuses it from now on.
+                    # An order of this slot's former process may still be in
+                    # flight and would unload an adapter in use here. An engine
+                    # that checks fencing numbers rejects it from now on.
                     await self.engine.raise_fence(self.machine.residency.order)
                 self.handle(
                     event_lib.EngineObserved(
@@ -464,7 +466,7 @@
                 await self._poll_requested.wait()
 
     async def tick(self) -> None:
-        """Lets time pass for the decisions."""
+        """Sends time events to the state machine until cancelled."""
         while True:
             if self.machine.idle:
                 self._work_arrived = anyio.Event()
@@ -482,9 +484,9 @@
                     self._abandon(owner_id, serving)
 
     def _abort_stalled_runs(self, now_ms: int) -> None:
-        """Ends runs whose target has sent nothing for too long.
+        """Aborts runs whose target has sent nothing for too long.
 
-        Reads of an answer carry no timeout of their own, see ``backend``.
+        Reads of a response have no timeout of their own, see ``backend``.
         """
         oldest_ms = now_ms - self.own.run_timeout_ms
         for serving in list(self.servings.values()):
@@ -498,14 +500,14 @@
                 serving.scope.cancel()
 
     def on_leaving_reported(self, names: frozenset[str]) -> None:
-        """Learns from a peer who leaves."""
+        """Handles a peer's report of which targets are draining."""
         if self.settings.name in names:
             self.handle(event_lib.DrainRequested())
 
     async def watch_vms(self) -> None:
-        """Learns from the platform's list that this VM leaves.
+        """Watches the platform's list for the draining of this VM.
 
-        Only watchers read the list; the others hear it from peers.
+        Only watchers read the list; other targets receive it from peers.
         """
         revision: int | None = None
         while True:
@@ -567,10 +569,10 @@
         }
 
     async def drain(self) -> int:
-        """Rejects new work and waits for what runs.
+        """Rejects new work and waits for running work.
 
         Returns:
-            How many runs were cut at the limit.
+            The number of runs aborted at the time limit.
         """
         self.handle(event_lib.DrainRequested())
         with anyio.move_on_after(self.own.drain_ms / MS_PER_S):
@@ -602,13 +604,13 @@
         anyio.TASK_STATUS_IGNORED
     ),
 ) -> None:
-    """Runs a target process until it is told to stop, then drains it.
+    """Runs a target process until ``stop`` is set, then drains it.
 
     Args:
         settings: Its settings.
         stop: Set to start the drain.
         random_source: Its random source.
-        task_status: Given the process once it listens.
+        task_status: Receives the process once it listens.
     """
     own = settings.target
     metrics = metrics_lib.Metrics(name=settings.name)
--- a/packages/radishd/src/radishd/target_evidence.py
+++ b/packages/radishd/src/radishd/target_evidence.py
@@ -1,4 +1,4 @@
-"""What a gateway learns of targets from the requests that it sends to them."""
+"""Evidence about targets, from the requests that a gateway sends them."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 
 
 class TargetEvidence:
-    """Records how sends ended, and what targets say of themselves."""
+    """Records outcomes of sends and the signals in targets' responses."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         Args:
             roster: Keeps the health of targets.
             placement: Keeps which adapters targets hold.
-            pool: Connections to targets, closed where they lead nowhere.
-            crash_watch: Looks whether a target crashed.
-            log: Where beliefs are logged.
-            on_draining: Called when a target turns out to be leaving.
+            pool: Connections to targets, dropped if a target is unreachable.
+            crash_watch: Checks whether a target crashed.
+            log: Decision log.
+            on_draining: Called when a target is first marked as draining.
         """
         self._roster = roster
         self._placement = placement
@@ -50,7 +50,7 @@
     def record_outcome(
         self, member: roster_lib.Member, outcome: Outcome, adapter: str
     ) -> None:
-        """Records how a send ended that brought no answer for the caller."""
+        """Records the outcome of a send without a response for the caller."""
         instance = member.listing.instance
         now_ms = clock.boot_ms()
         address = member.listing.address
@@ -71,9 +71,9 @@
     def record_aborted_response(
         self, member: roster_lib.Member, fingerprint: str, began_at_ms: int
     ) -> None:
-        """Records that a target broke off a response, as in a crash."""
-        # A leaving target cuts off what it still runs. Counted as crashes,
-        # the ends of a release would quarantine slow requests.
+        """Records that a target aborted a response, as in a crash."""
+        # A draining target aborts the requests that it still runs. If these
+        # counted as crashes, a release would quarantine slow requests.
         if self._roster.is_active(member, clock.boot_ms()):
             self._crash_watch.broke(member, fingerprint, began_at_ms)
 
@@ -100,7 +100,7 @@
         signals: front.TargetSignals,
         attempt_id: str,
     ) -> None:
-        """Applies what the headers of a response say about its target."""
+        """Applies the signals in the headers of a target's response."""
         incarnation_id = member.listing.incarnation_id
         if signals.leaving:
             self.mark_draining(
@@ -122,7 +122,7 @@
         source: str,
         request: str = "",
     ) -> None:
-        """Marks a target as leaving, so that it gets no new requests."""
+        """Marks a target as draining, so that it gets no new requests."""
         if not self._roster.mark_draining(incarnation_id):
             return
         self._log.must(
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets that run them."""
+"""Requests that crash the targets that run them."""
 
 import itertools
 
@@ -24,7 +24,7 @@
 def _count_aborted_responses(
     gateway: gateway_lib.Gateway, *, ended: bool
 ) -> int:
-    """Returns how many targets broke off, by whether they had ended."""
+    """Returns the number of aborted responses, with or without a crash."""
     label = "yes" if ended else "no"
     samples = gateway.metrics.crashes.get_all()
     return sum(
@@ -33,10 +33,10 @@
 
 
 def test_a_crash_is_told_apart_from_a_broken_connection() -> None:
-    """An operator sees 502 and cannot tell a crash from a broken connection.
+    """An operator sees 502 both for a crash and for a broken connection.
 
-    Both break the answer off; what ended refuses connections afterwards. The
-    log gave the same line for the two, ``sends=["i-...:lost"]``.
+    Both abort the response, but a crashed target refuses connections
+    afterwards. The log had the same line for both, ``sends=["i-...:lost"]``.
     """
 
     async def play() -> None:
@@ -65,7 +65,7 @@
 async def _add_gateways(
     fleet: fixtures.Fleet, count: int
 ) -> list[gateway_lib.Gateway]:
-    """Starts further gateways, which read changes of targets quickly."""
+    """Starts more gateways, which apply changes of targets quickly."""
     seeds = (fleet.gateway.own.peers,)
     gateways = [
         await fleet.add_gateway(seeds, leaving_ms=100) for _ in range(count)
@@ -88,7 +88,7 @@
 async def _wait_until_all_usable(
     fleet: fixtures.Fleet, gateways: list[gateway_lib.Gateway]
 ) -> None:
-    """Waits until all plain targets that run are used."""
+    """Waits until all gateways may use all plain targets."""
     plain = {name for name, one in fleet.targets.items() if not one.model}
     await fleet.until(
         lambda: all(_usable(one) == plain for one in gateways),
@@ -99,7 +99,7 @@
 async def _crash_once(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> fixtures.Answer:
-    """Sends the request once, and starts what it ended again."""
+    """Sends the request once and restarts the target that it crashed."""
     before = _count_aborted_responses(gateway, ended=True)
     answer = await fleet.call("/book/1", body=POISON, gateway=gateway)
     if any(target.ended for target in fleet.targets.values()):
@@ -112,7 +112,7 @@
 
 
 def _crash_on_every_run(fleet: fixtures.Fleet) -> list[str]:
-    """Has the request end whatever runs it; returns a log of its runs."""
+    """Makes the request crash any target; returns a log of its runs."""
     runs: list[str] = []
 
     def crash(seen: platform_engine.Seen) -> Fault:
@@ -127,15 +127,14 @@
 
 
 def test_a_request_that_crashes_targets_is_quarantined() -> None:
-    """One request ended ten engines in 16 s, seven after the first three.
-
-    It came again every one to three seconds through five gateways, and each
-    of them sent it to the next engine, as nothing was kept of what a target
-    had ended under. The same adapter stood in all eight crashes that the logs
-    hold, at 8.727, 9.549, 9.980, 14.796, 17.161, 19.696, 23.102 and 24.253 s,
-    always ``status=502 code=3011 sends=["i-...:lost"]`` some 350 ms after the
-    request came. Three repeats may still reach a target while gateways learn
-    of the third crash; later ones are to be refused.
+    """One request crashed ten engines in 16 s, seven after the first three.
+
+    It was repeated every one to three seconds through five gateways. Each sent
+    it to the next engine, because no gateway recorded which request an engine
+    had crashed under. All eight crashes in the logs had the same adapter and
+    ``status=502 code=3011``, and came some 350 ms after the request. Three
+    repeats may still reach a target while gateways receive the report of the
+    third crash; later ones must be rejected.
     """
 
     async def play() -> None:
@@ -157,7 +156,7 @@
 async def _quarantine_everywhere(
     fleet: fixtures.Fleet, gateways: list[gateway_lib.Gateway]
 ) -> None:
-    """Sends the request until it is refused at all gateways."""
+    """Sends the request until all gateways quarantine it."""
     for gateway in itertools.cycle(gateways):
         await _crash_once(fleet, gateway)
         await _wait_until_all_usable(fleet, gateways)
@@ -169,10 +168,10 @@
 
 
 def test_a_new_gateway_receives_quarantines() -> None:
-    """A gateway is replaced while a request that ends targets goes round.
+    """A gateway is replaced while a request that crashes targets is repeated.
 
-    What was known of it lay in the memory of the others, and the new one sent
-    it to the next target.
+    The evidence was only in the memory of the others, so the new gateway sent
+    the request to the next target.
     """
 
     async def play() -> None:
@@ -199,9 +198,9 @@
 
 
 def test_a_success_clears_a_suspect_at_all_gateways() -> None:
-    """Targets end under a request that is not to blame.
+    """Targets crash while they run a request that is not the cause.
 
-    Once they run it to its end it is to be refused nowhere, also at gateways
+    Once an equal request succeeds, no gateway may reject it, including those
     that have not served it since.
     """
 
@@ -232,10 +231,10 @@
 
 
 def test_aborted_responses_of_draining_targets_are_no_crashes() -> None:
-    """Targets are replaced one after the other, and cut what they still run.
+    """Targets are replaced one after the other and abort what they run.
 
-    A slow request that is sent on to the next one each time would stand at
-    three ends in turn, and be refused though no target ended for it.
+    A slow request that is sent on to the next target each time would have three
+    consecutive crashes, and be quarantined although it crashed no target.
     """
 
     async def play() -> None:
@@ -264,10 +263,10 @@
 
 
 def test_a_missed_clearance_is_sent_again() -> None:
-    """A word is lost, and one gateway goes on refusing an innocent request.
+    """A report is lost, and one gateway keeps rejecting an innocent request.
 
-    It refuses all of them, so it would see none end well itself; what it tells
-    of the crashes shows another that it has not heard.
+    As it rejects all equal requests, it never observes a success itself. Its
+    crash reports show the other gateways that it missed the clearance.
     """
 
     async def play() -> None:
@@ -300,10 +299,11 @@
 
 
 def test_one_trial_at_a_time_ends_a_quarantine() -> None:
-    """A request is refused at all gateways, so none of it can end well.
+    """A request that all gateways reject can never succeed and be cleared.
 
-    Let through at once everywhere, all that come would end a target each if
-    they do; one at a time, at one gateway, ends one at most, or clears it.
+    If all gateways let it through when the quarantine ends, each repeat could
+    crash a target. One trial at a time, at one gateway, crashes at most one
+    target or clears the request.
     """
 
     async def play() -> None:
@@ -364,24 +364,24 @@
 
 
 def test_quarantines_survive_a_restart_of_all_gateways() -> None:
-    """All gateways restart at once, and the request comes again.
+    """All gateways restart at once, and the request is sent again.
 
-    What was known of it lay in their memory alone, so the next three targets
-    ended under it before it was refused once more.
+    The evidence was only in their memory, so the request crashed three more
+    targets before it was rejected again.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 1)
             runs = _crash_on_every_run(fleet)
-            # The answer to the write is lost, which proves nothing.
+            # The answer to the write is lost, so its outcome is unknown.
             fleet.store.faults.loses_answers = True
             await _quarantine_everywhere(fleet, gateways)
             stored = fleet.store.objects.get("crashes", {})
             await fleet.until(lambda: bool(stored), "it is kept")
             fleet.store.faults.loses_answers = False
             fleet.store.put("crashes", "foreign", {"fingerprint": 7})
-            # This one knows no other gateway, nor is it known to any.
+            # This gateway and the others do not know of each other.
             new_gateway = await fleet.add_gateway()
             await fleet.until(
                 lambda: (
@@ -405,7 +405,7 @@
 
 
 def test_a_quarantine_in_a_store_outage_is_stored_afterwards() -> None:
-    """The store is away as the third target ends."""
+    """The store is unreachable when the third target crashes."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=3) as fleet:
--- a/tests/fleet/test_target_news.py
+++ b/tests/fleet/test_target_news.py
@@ -1,4 +1,4 @@
-"""What targets tell of themselves in their answers."""
+"""Signals that targets send in the headers of their responses."""
 
 from radishd import gateway as gateway_lib
 from radishd.connection import http_client
@@ -18,7 +18,7 @@
 
 
 async def _sleep(fleet: fixtures.Fleet, time_ms: int) -> None:
-    """Waits until so much time has passed."""
+    """Waits until the given time has passed."""
     until_ms = clock.boot_ms() + time_ms
     await fleet.until(lambda: clock.boot_ms() > until_ms, "time passes")
 
@@ -35,7 +35,7 @@
 async def _drain_in_outage(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> platform_engine.PlatformEngine:
-    """Has a target leave in an outage, and the gateway pass its word on."""
+    """Drains a target in a store outage; its responses report it."""
     fleet.store.faults.refuses = True
     draining_target = fleet.targets["i-plain0"]
     draining_target.leaving = True
@@ -45,13 +45,11 @@
 
 
 def test_a_target_that_reports_draining_gets_no_requests() -> None:
-    """Requests came 2,103 and 2,497 ms after an engine's word that it leaves.
+    """Requests reached a target 2,103 and 2,497 ms after it began to drain.
 
-    2,000 ms are allowed. The store took no change from 6.5 s on, so what the
-    engine registered at 7.5 s stayed unread. Its answers said
-    ``Server-Leaving: 1`` from then on: a gateway passed one on at 7.68 s and
-    sent to it at 9.781 s and 10.037 s all the same. The header was handed to
-    callers and read by nobody.
+    2,000 ms are allowed. The store accepted no changes, so gateways did not
+    read the target's new registration. Its responses had ``Server-Leaving: 1``,
+    but gateways only passed the header on to callers and kept sending requests.
     """
 
     async def play() -> None:
@@ -69,10 +67,11 @@
 
 
 def test_a_listing_does_not_undo_reported_draining() -> None:
-    """The store returns with the state that it had before the outage.
+    """After a store outage the store has the state from before it.
 
-    The entry that says ``ready`` was written before the target's word, or its
-    entry lapsed and is made anew; neither takes the word back.
+    Its record with the state ``ready`` was written before the target reported
+    draining, or the record expired and was written anew. Neither may make
+    gateways use the target again.
     """
 
     async def play() -> None:
@@ -101,10 +100,10 @@
 
 
 def test_a_target_in_backoff_gets_no_requests() -> None:
-    """A full target turns requests away and says for how long it wants none.
+    """A full target rejects requests and reports how long to back off.
 
-    Each gateway sent on at once, so a target that had asked for minutes was
-    asked again with every request. Two may still reach it.
+    Gateways ignored the time, so a target that had requested a backoff of
+    minutes still received every request. Two requests may still reach it.
     """
 
     async def play() -> None:
@@ -123,9 +122,9 @@
 
 
 def test_callers_get_retry_after_if_all_targets_are_in_backoff() -> None:
-    """All targets want nothing for a while; a caller is refused at once.
+    """All targets are in backoff, so requests are rejected at once.
 
-    Sent on all the same, each request would be one more that they turn away.
+    Requests sent anyway would only be rejected by the targets.
     """
 
     async def play() -> None:
@@ -141,14 +140,14 @@
             assert after - before <= 2 * len(fleet.targets)
             for answer in answers[-1:]:
                 assert answer.status == 503, answer
-                # Returners are spread, so that they do not meet again.
+                # The time is randomized, to spread out retries.
                 assert 60 < float(answer.headers["retry-after"]) <= 601
 
     fixtures.run(play)
 
 
 def test_a_new_incarnation_of_a_drained_target_is_used() -> None:
-    """A target that left starts again under its name, and takes work."""
+    """A drained target restarts under its name and gets requests."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
@@ -191,10 +190,10 @@
 
 
 def test_a_backoff_lasts_as_long_as_requested() -> None:
-    """An ejection ends soon and spares the last target; a rest does neither.
+    """An ejection is short and spares the last target; a backoff does neither.
 
-    Sent on when the ejection ended, a request reached the target every other
-    second of its rest.
+    When a backoff was treated as an ejection, a request reached the target
+    every other second, each time the ejection ended.
     """
     roster = roster_lib.Roster(2_500)
     first, second = _member(roster, "1"), _member(roster, "2")
@@ -212,7 +211,7 @@
 
 
 def test_draining_incarnations_are_remembered_within_bounds() -> None:
-    """Starts come and go for years; memory holds the newest words."""
+    """Incarnations change for years; only the newest are remembered."""
     roster = roster_lib.Roster(2_500)
     count = 3 * roster_lib.MAX_REMEMBERED_TARGETS
     incarnation_ids = [
@@ -229,7 +228,10 @@
 
 
 def test_signals_apply_only_to_the_target_that_answered() -> None:
-    """A start that took an address over refuses what was meant for another."""
+    """An incarnation at a reused address rejects requests for the former.
+
+    The signals in this response must not apply to the former incarnation.
+    """
     leaving = (b"server-leaving", b"1")
     for headers, status, expected in (
         ((leaving,), 200, front.TargetSignals(leaving=True)),
@@ -250,7 +252,7 @@
 
 
 def test_a_sidecar_reports_that_its_engine_is_draining() -> None:
-    """A gateway that has no answer of the engine learns of it all the same."""
+    """A gateway without any response of the engine also learns of it."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=2, plain=0) as fleet:
