--- a/packages/radishd/src/radishd/connection/listener.py
+++ b/packages/radishd/src/radishd/connection/listener.py
@@ -58,7 +58,7 @@
         finally:
             for stream, attempt_id in list(self.attempts.items()):
                 reader = serving_lib.ReaderId(self.writer, stream)
-                self.process.reader_left(attempt_id, reader, cut=True)
+                self.process.detach_reader(attempt_id, reader, cut=True)
 
     def _handle_frame(self, received: frame.Frame) -> result.Failure | None:
         return _handle_frame(received.body, self, received.stream)
@@ -170,7 +170,7 @@
     if attempt_id is None:
         return _check_closed_stream(connection, stream)
     reader = serving_lib.ReaderId(connection.writer, stream)
-    connection.process.reader_left(attempt_id, reader, cut=False)
+    connection.process.detach_reader(attempt_id, reader, cut=False)
     return None
 
 
--- a/packages/radishd/src/radishd/entry.py
+++ b/packages/radishd/src/radishd/entry.py
@@ -1,4 +1,4 @@
-"""The entry role: takes callers' requests to targets; keeps soft state."""
+"""The entry role: forwards callers' requests to targets; keeps soft state."""
 
 import functools
 import json
@@ -33,10 +33,10 @@
 
 MS_PER_S = 1000.0
 PROCESS_ID_BYTES = 8
-FORGET_MS = 5_000
+EXPIRE_INTERVAL_MS = 5_000
 DRAIN_POLL_MS = 20
-VMS_RETRY_MS = 1_000
-FULL_RETRY_MS = 200
+VM_LIST_RETRY_MS = 1_000
+RETRY_AFTER_MS = 200
 
 
 class Entry:
@@ -55,7 +55,7 @@
 
         Args:
             settings: Its settings, of the role entry.
-            tasks: Where its work runs.
+            tasks: Task group that runs its work.
             metrics: Its metrics.
             control: Its control socket.
             random_source: Its random source.
@@ -74,13 +74,13 @@
         )
         self.router = routing.Router()
         self.listed_leaving: frozenset[str] = frozenset()
-        self.heard_leaving: frozenset[str] = frozenset()
+        self.reported_leaving: frozenset[str] = frozenset()
         self.budget = retry_budget.RetryBudget()
         self.in_flight: set[caller_lib.Caller] = set()
         self.draining = False
-        self.refusing = False
+        self.rejecting = False
         self.last_failures: dict[int, int] = {}
-        self.configuration.listen(self._version_raised)
+        self.configuration.listen(self._on_version_change)
         self.configuration_gossip = (
             configuration_gossip_lib.ConfigurationGossip(
                 settings,
@@ -90,45 +90,47 @@
                 random_source,
             )
         )
-        self.configuration_gossip.on_leaving = self._leaving_heard
+        self.configuration_gossip.on_leaving = self._on_leaving_reported
 
-    def _leaving_heard(self, names: frozenset[str]) -> None:
-        self.heard_leaving = names
+    def _on_leaving_reported(self, names: frozenset[str]) -> None:
+        self.reported_leaving = names
         self.router.listed_leaving = self.listed_leaving | names
 
-    def _version_raised(self, held: holder_lib.HeldVersion) -> None:
+    def _on_version_change(self, held: holder_lib.HeldVersion) -> None:
         self.links.version = held.version
 
     async def app(
         self, scope: web.Scope, receive: web.Receive, send: web.Send
     ) -> None:
-        """The ASGI application of the callers' port."""
+        """ASGI application that serves callers."""
         if scope["type"] != "http":
             return
         accepted_at_ms = clock.now_ms()
         headers = intake_lib.headers_of(scope)
         request_id = intake_lib.request_id_of(headers)
-        taken = await self._take_in(scope, receive, headers, request_id)
-        if isinstance(taken, result.Failure):
-            self.count(taken)
-            if taken.code is not result.CANCELLED:
-                await caller_lib.reply_failure(taken, request_id, send)
+        received = await self._receive_request(
+            scope, receive, headers, request_id
+        )
+        if isinstance(received, result.Failure):
+            self.count(received)
+            if received.code is not result.CANCELLED:
+                await caller_lib.reply_failure(received, request_id, send)
             return
         if scope["path"] == "/v1/models":
             await self._reply_models(send)
             return
         held = self.configuration.held
-        resolution = resolve.resolve(taken.asked, held)
+        resolution = resolve.resolve(received.asked, held)
         if isinstance(resolution, result.Failure):
             self.count(resolution)
             await caller_lib.reply_failure(resolution, request_id, send)
             return
         caller = caller_lib.Caller(
-            self, taken, held, resolution, send, accepted_at_ms
+            self, received, held, resolution, send, accepted_at_ms
         )
         await self._run(caller, receive)
 
-    async def _take_in(
+    async def _receive_request(
         self,
         scope: web.Scope,
         receive: web.Receive,
@@ -142,7 +144,8 @@
         )
         if failure is not None:
             if headers.get("idempotency-key") and failure.retry_after_ms:
-                # An earlier copy of it may have run; only its home knows.
+                # An earlier request with this key may have run; only the
+                # key's home target knows.
                 proof = result.Executed.UNKNOWN
                 return result.Failure(
                     failure.code,
@@ -161,24 +164,24 @@
         return intake_lib.parse(scope, headers, request_id, body)
 
     def _check_open(self) -> result.Failure | None:
-        if self.refusing:
+        if self.rejecting:
             return result.Failure(
                 result.ENTRY_DRAINING,
                 f"{self.settings.name} is shutting down",
-                FULL_RETRY_MS,
+                RETRY_AFTER_MS,
             )
         if self.configuration.held.version == 0:
             return result.Failure(
                 result.NOT_READY,
                 f"{self.settings.name} has no configuration yet",
-                FULL_RETRY_MS,
+                RETRY_AFTER_MS,
             )
         if len(self.in_flight) >= self.own.max_in_flight:
             return result.Failure(
                 result.ENTRY_FULL,
                 f"{self.settings.name} has {len(self.in_flight)} requests in "
                 "flight",
-                round(FULL_RETRY_MS * self.random.uniform(0.5, 1.5)),
+                round(RETRY_AFTER_MS * self.random.uniform(0.5, 1.5)),
             )
         return None
 
@@ -189,14 +192,14 @@
         started_ms = clock.now_ms()
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._watch, caller, receive)
+                tasks.start_soon(self._watch_caller, caller, receive)
                 await caller.run()
                 tasks.cancel_scope.cancel()
         except* caller_lib.ResponseAbortedError as group:
             caller.failure = group.exceptions[0].failure
             raise group.exceptions[0] from None
         except* Exception as group:
-            caller.failure = self._broke(group)
+            caller.failure = self._handle_exceptions(group)
             await caller.reply(caller.failure)
         finally:
             self.in_flight.discard(caller)
@@ -204,8 +207,8 @@
             took_ms = clock.now_ms() - started_ms
             caller_lib.log_outcome(caller, caller.failure, took_ms)
 
-    def _broke(self, group: ExceptionGroup) -> result.Failure:
-        """Logs what stopped one request; the others go on."""
+    def _handle_exceptions(self, group: ExceptionGroup) -> result.Failure:
+        """Logs exceptions that failed one request; the others continue."""
         logs.exception("request_broke")
         code = result.INTERNAL
         for error in group.exceptions:
@@ -214,13 +217,13 @@
         self.metrics.broken.inc({"code": str(code.number)})
         return result.Failure(code, "this entry broke off the request")
 
-    async def _watch(
+    async def _watch_caller(
         self, caller: caller_lib.Caller, receive: web.Receive
     ) -> None:
-        """Notices a caller that leaves and a deadline that passes."""
-        left_ms = caller.deadline_at_ms - clock.now_ms()
+        """Interrupts a request on disconnect or after its deadline."""
+        remaining_ms = caller.deadline_at_ms - clock.now_ms()
         grace_ms = caller_lib.DEADLINE_GRACE_MS
-        with anyio.move_on_after((left_ms + grace_ms) / MS_PER_S):
+        with anyio.move_on_after((remaining_ms + grace_ms) / MS_PER_S):
             while (await receive())["type"] != "http.disconnect":
                 pass
             caller.interrupt(caller_lib.Disconnected())
@@ -228,7 +231,7 @@
         caller.interrupt(caller_lib.DeadlineExceeded())
 
     def count(self, failure: result.Failure | None) -> None:
-        """Counts a request's one outcome."""
+        """Counts the outcome of a request; called once per request."""
         number = failure.code.number if failure else 0
         self.metrics.requests.inc({"code": str(number)})
         if number:
@@ -237,7 +240,7 @@
     async def rank(
         self, resolution: resolve.Resolution, held: holder_lib.HeldVersion
     ) -> list[str]:
-        """Orders the candidates of a request, probing where it helps."""
+        """Ranks the candidates of a request, probing some of them first."""
         candidates = list(resolution.candidates)
         if resolution.key:
             return candidates
@@ -282,27 +285,27 @@
         )
         await send({"type": "http.response.body", "body": body})
 
-    async def forget(self) -> None:
-        """Drops old beliefs now and then."""
+    async def expire_router_state(self) -> None:
+        """Drops outdated router state at an interval, until cancelled."""
         while True:
-            await anyio.sleep(FORGET_MS / MS_PER_S)
+            await anyio.sleep(EXPIRE_INTERVAL_MS / MS_PER_S)
             self.router.forget_old(clock.now_ms())
 
     async def watch_vms(self) -> None:
-        """Learns from the platform's list which targets leave."""
+        """Watches the platform's VM list for targets that are draining."""
         revision: int | None = None
         while True:
             listed = await self.store.list_vms(watch=revision)
             if isinstance(listed, result.Failure):
                 revision = None
-                await anyio.sleep(VMS_RETRY_MS / MS_PER_S)
+                await anyio.sleep(VM_LIST_RETRY_MS / MS_PER_S)
                 continue
             if isinstance(listed, str):
                 continue
             revision, vms = listed
             self.listed_leaving = frozenset(vm.name for vm in vms if vm.leaving)
             self.router.listed_leaving = (
-                self.listed_leaving | self.heard_leaving
+                self.listed_leaving | self.reported_leaving
             )
             self.configuration_gossip.announce_leaving(
                 tuple(sorted(self.listed_leaving))
@@ -338,14 +341,14 @@
         }
 
     async def drain(self) -> int:
-        """Tells the balancer, then finishes what is in flight.
+        """Reports unready to the balancer, then waits for open requests.
 
         Returns:
-            How many requests were cut at the limit.
+            The number of requests aborted at the time limit.
         """
         self.draining = True
         await anyio.sleep(self.own.unready_ms / MS_PER_S)
-        self.refusing = True
+        self.rejecting = True
         with anyio.move_on_after(self.own.drain_ms / MS_PER_S):
             while self.in_flight:
                 await anyio.sleep(DRAIN_POLL_MS / MS_PER_S)
@@ -361,7 +364,7 @@
 
 
 def list_models(document: document_lib.Document) -> list[dict[str, str]]:
-    """Lists what callers may name as ``model``."""
+    """Lists the values that callers may send as ``model``."""
     names = [
         service.name
         for service in document.services.values()
@@ -382,13 +385,13 @@
     random_source: random.Random | None = None,
     task_status: anyio.abc.TaskStatus[Entry] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Runs an entry daemon until it is told to stop, then drains it.
+    """Runs an entry daemon until ``stop`` is set, then drains it.
 
     Args:
         settings: Its settings.
         stop: Set to start the drain.
         random_source: Its random source.
-        task_status: Given the daemon once it listens.
+        task_status: Receives the daemon once it listens.
     """
     own = settings.entry
     metrics = metrics_lib.Metrics(name=settings.name)
@@ -412,7 +415,7 @@
             transfer.seed, entry.configuration, entry.links, settings.seeds
         )
         tasks.start_soon(entry.configuration_gossip.run)
-        tasks.start_soon(entry.forget)
+        tasks.start_soon(entry.expire_router_state)
         tasks.start_soon(entry.watch_vms)
         admin_app = admin.make_app(
             metrics,
--- a/packages/radishd/src/radishd/sidecar_exchange.py
+++ b/packages/radishd/src/radishd/sidecar_exchange.py
@@ -21,8 +21,8 @@
 from radishd.process import settings as settings_lib
 
 MS_PER_S = 1_000
-# A sidecar believes a demand for five times as long.
-DEMAND_EVERY_MS = 400
+# A sidecar treats a demand as valid for five times as long.
+DEMAND_INTERVAL_MS = 400
 
 
 class SidecarExchange:
@@ -44,18 +44,18 @@
         log: decision_log.DecisionLog,
         on_incarnation: Callable[[roster_lib.Member], None],
     ) -> None:
-        """Starts without a socket; until it is attached, nothing is sent.
+        """Starts without a socket; nothing is sent until one is attached.
 
         Args:
             settings: Settings of the gateway.
             table: Returns the route table in force.
-            roster: Targets that are known.
-            placement: Learns what engines hold.
-            peers: Learns of other gateways.
-            evidence: Learns of engines that leave.
+            roster: Known targets.
+            placement: Records which adapters engines hold.
+            peers: Records other gateways.
+            evidence: Records which engines are draining.
             notifier: Wakes requests that wait for an adapter.
-            log: Where decisions are logged.
-            on_incarnation: Called with a target whose present incarnation
+            log: Decision log.
+            on_incarnation: Called with a target whose current incarnation
                 was not known before.
         """
         self._name = settings.name
@@ -74,10 +74,10 @@
         )
 
     def attach(self, socket: fleet_socket.FleetSocket) -> None:
-        """Sends through a socket from now on."""
+        """Sets the socket that datagrams are sent through."""
         self._socket = socket
 
-    def _spec_of(
+    def _engine_spec(
         self, member: roster_lib.Member
     ) -> route_table.ServiceSpec | None:
         spec = self._table().services.get(member.listing.service)
@@ -86,8 +86,8 @@
         return spec
 
     async def send_demand(self, member: roster_lib.Member) -> None:
-        """Sends one sidecar what is used and wanted at its engine."""
-        spec = self._spec_of(member)
+        """Sends one sidecar the uses and load requests for its engine."""
+        spec = self._engine_spec(member)
         if spec is None or self._socket is None or member.gone:
             return
         listing = member.listing
@@ -120,31 +120,33 @@
             for member in list(self._roster.members.values()):
                 if self.load_requests.is_due(member, turn):
                     await self.send_demand(member)
-            await anyio.sleep(DEMAND_EVERY_MS / MS_PER_S)
+            await anyio.sleep(DEMAND_INTERVAL_MS / MS_PER_S)
 
     def handle_status(
         self, datagram: fleet_wire.StatusUpdate, sender: fleet_socket.Address
     ) -> None:
         """Applies the status update of a sidecar."""
-        self._peers.heard(datagram.peer_addresses)
-        self._peers.counted(datagram.gateway_count, clock.boot_ms())
+        self._peers.record_peers(datagram.peer_addresses)
+        self._peers.record_gateway_count(
+            datagram.gateway_count, clock.boot_ms()
+        )
         member = self._roster.members.get(datagram.instance)
         if member is None:
             return
         host, _ = settings_lib.split_address(member.listing.address)
         if host != sender[0]:
             return
-        spec = self._spec_of(member)
+        spec = self._engine_spec(member)
         if spec is None:
             return
         incarnation_id = incarnation.IncarnationId(
             datagram.instance, datagram.born_ms
         )
-        renewed = self._roster.restarted(
+        restarted_member = self._roster.restarted(
             incarnation_id, datagram.former_born_ms
         )
-        if renewed is not None:
-            member = renewed
+        if restarted_member is not None:
+            member = restarted_member
             self._log.must(
                 "target_restarted",
                 target=incarnation_id.name,
@@ -154,10 +156,10 @@
             )
             self._on_incarnation(member)
         if incarnation_id.is_other(member.listing.incarnation_id):
-            # An incarnation that is not listed yet.
+            # The incarnation is not listed yet.
             return
         if datagram.leaving:
-            self._evidence.mark_leaving(incarnation_id, source="sidecar")
+            self._evidence.mark_draining(incarnation_id, source="sidecar")
         before = self._placement.views.get(member.listing.address)
         view = placement_lib.View(
             instance=datagram.instance,
@@ -175,8 +177,8 @@
         )
         self._placement.handle_update(member.listing.address, view)
         if before is None:
-            # The first update of this engine: requests may wait for any
-            # adapter.
+            # This is the first update for the engine, so requests may be
+            # waiting for any adapter.
             self._notifier.notify_all()
             return
         for adapter, version in view.residents.items():
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -1,4 +1,4 @@
-"""The target role: the one process that gives its target work and orders."""
+"""The target role: the only process that sends its target work and orders."""
 
 import contextlib
 import functools
@@ -45,14 +45,14 @@
 IDLE_TICK_MS = 500
 SEAL_TIMEOUT_MS = 1_000
 VERSION_WAIT_MS = 1_000
-LOOKS_BEFORE_LOST = 2
+FAILED_POLLS_BEFORE_LOST = 2
 PROCESS_ID_BYTES = 8
-ORDERS_PER_MS = 1_000
-LEAVE_LIST_MS = 1_000
+ORDER_NUMBERS_PER_MS = 1_000
+VM_LIST_RETRY_MS = 1_000
 
 
 class TargetProcess:
-    """Drives the decisions of one target with real sockets and clocks."""
+    """Connects the state machine of one target to sockets and clocks."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
 
         Args:
             settings: Its settings, of the role target.
-            tasks: Where its work runs.
+            tasks: Task group that runs its work.
             metrics: Its metrics.
             random_source: Its random source.
         """
@@ -101,8 +101,9 @@
                 max_queued=own.max_queued,
                 max_parallel_loads=own.max_parallel_loads,
                 quarantine_ms=own.quarantine_ms,
-                # Orders of an earlier process in this slot must be older.
-                first_order=clock.unix_ms() * ORDERS_PER_MS,
+                # Must exceed the order numbers of earlier processes in this
+                # slot.
+                first_order=clock.unix_ms() * ORDER_NUMBERS_PER_MS,
             ),
             now_ms=clock.now_ms(),
             random_source=random_source,
@@ -111,20 +112,20 @@
         self.servings: dict[bytes, serving_lib.ServedRun] = {}
         self.owners: dict[bytes, bytes] = {}
         self.kept_bytes = 0
-        self._busy = anyio.Event()
-        self._look_now = anyio.Event()
+        self._work_arrived = anyio.Event()
+        self._poll_requested = anyio.Event()
         self.configuration_gossip: (
             configuration_gossip_lib.ConfigurationGossip | None
         ) = None
         self.seals: dict[int, tuple[Any, int]] = {}
-        self.configuration.listen(self._version_raised)
+        self.configuration.listen(self._on_version_change)
 
-    def _version_raised(self, held: holder_lib.HeldVersion) -> None:
+    def _on_version_change(self, held: holder_lib.HeldVersion) -> None:
         self.links.version = held.version
         self.handle(event_lib.VersionActivated(held))
 
     def handle(self, event: event_lib.Event) -> None:
-        """Feeds an event to the decisions and performs what they say."""
+        """Passes an event to the state machine and performs its actions."""
         try:
             actions = self.machine.handle(event, clock.now_ms())
         except invariant.InvariantBrokenError as error:
@@ -135,7 +136,7 @@
             target_actions.perform(action, self)
 
     def load(self, adapter: str = "") -> load_lib.Load:
-        """Returns this target's word on itself."""
+        """Returns the load report of this target."""
         return self.machine.report(adapter, self.identity, clock.now_ms())
 
     def submit(
@@ -154,16 +155,16 @@
             self.tasks.start_soon(self._submit_later, attempt)
             return
         self.handle(event_lib.Submitted(attempt))
-        self._busy.set()
+        self._work_arrived.set()
 
     async def _submit_later(self, attempt: attempt_lib.Attempt) -> None:
-        """Waits for the version an attempt was resolved against."""
+        """Submits an attempt after waiting for its configuration version."""
         await self.configuration.wait_for(attempt.version, VERSION_WAIT_MS)
         if attempt.attempt_id in self.servings:
             self.handle(event_lib.Submitted(attempt))
 
     def attach(self, body: frame.Attach, reader: serving_lib.ReaderId) -> None:
-        """Resumes a run for a reader whose connection was cut."""
+        """Resumes a run for a reader whose connection was lost."""
         owner_id = self.owners.get(body.attempt_id, b"")
         serving = self.servings.get(owner_id)
         if serving is None or not serving.attach(reader, body.next_number):
@@ -177,21 +178,21 @@
         serving.flush(self.load())
 
     def serve_version(self, reader: serving_lib.ReaderId) -> bytes:
-        """Sends a peer the whole version held here, as a run of its own.
+        """Sends a peer the whole configuration as a separate run.
 
         Args:
-            reader: Who asked.
+            reader: Reader that requested it.
 
         Returns:
-            The run's id, by which the reader leaves it.
+            The id of the run, which detaches the reader later.
         """
         run_id = secrets.token_bytes(frame.ATTEMPT_ID_BYTES)
         serving = serving_lib.ServedRun(adapter="", keep_bytes=0)
         self.servings[run_id] = serving
         self.owners[run_id] = run_id
         serving.attach(reader, 0)
-        for piece in transfer.encode_chunks(self.configuration.held):
-            serving.run.append(piece)
+        for chunk in transfer.encode_chunks(self.configuration.held):
+            serving.run.append(chunk)
         serving.run.end(None)
         serving.flush(self.load())
         return run_id
@@ -200,15 +201,15 @@
         """Returns the run that an attempt reads."""
         return self.servings.get(self.owners.get(attempt_id, b""))
 
-    def reader_left(
+    def detach_reader(
         self, attempt_id: bytes, reader: serving_lib.ReaderId, *, cut: bool
     ) -> None:
-        """Records that a reader is gone.
+        """Detaches a reader from its run.
 
         Args:
-            attempt_id: What it read.
+            attempt_id: Attempt whose run it read.
             reader: The reader.
-            cut: Whether its connection was cut, so that it may come back.
+            cut: Whether its connection was lost, so that it may reconnect.
         """
         owner_id = self.owners.get(attempt_id, b"")
         serving = self.servings.get(owner_id)
@@ -229,7 +230,7 @@
             self.drop(owner_id)
 
     def drop(self, owner_id: bytes) -> None:
-        """Forgets a run and whoever reads it."""
+        """Drops a run and the attempts that read it."""
         serving = self.servings.pop(owner_id, None)
         self.owners.pop(owner_id, None)
         if serving is not None and serving.run.keep_bytes:
@@ -244,7 +245,7 @@
         try:
             failure: result.Failure | None = None
             with serving.scope:
-                failure = await self._pump(attempt, serving)
+                failure = await self._stream_response(attempt, serving)
             if serving.failure is not None:
                 failure = serving.failure
             serving.run.end(failure)
@@ -267,15 +268,15 @@
         )
         ran = failure is None or failure.code is not result.TARGET_COLD
         if not ran:
-            self._look_now.set()
+            self._poll_requested.set()
         if attempt.key and ran:
-            self._keep(serving)
+            self._keep_answer(serving)
         elif not serving.run.readers and not serving.orphaned_at_ms:
             self.drop(attempt.attempt_id)
         self.handle(event_lib.RunEnded(attempt.attempt_id, ran))
 
-    def _keep(self, serving: serving_lib.ServedRun) -> None:
-        """Keeps the answer of a key, within the bound of all kept ones."""
+    def _keep_answer(self, serving: serving_lib.ServedRun) -> None:
+        """Keeps the answer for a key, within the limit for all answers."""
         serving.kept_bytes = serving.run.bytes_held
         self.kept_bytes += serving.kept_bytes
         for other in self.servings.values():
@@ -286,7 +287,7 @@
                 other.kept_bytes = 0
                 other.run.drop_chunks()
 
-    async def _pump(
+    async def _stream_response(
         self, attempt: attempt_lib.Attempt, serving: serving_lib.ServedRun
     ) -> result.Failure | None:
         limits = engine_call.Limits(
@@ -297,36 +298,39 @@
             self.handle(event_lib.AdapterReported(attempt.attempt_id, adapter))
             return serving.failure is None
 
-        parts = engine_call.call(
+        events = engine_call.call(
             self.pool, self.own.url, attempt, limits, report
         )
         load = self.load(attempt.adapter)
-        async with contextlib.aclosing(parts):
-            async for part in parts:
-                match part:
+        async with contextlib.aclosing(events):
+            async for event in events:
+                match event:
                     case bytes():
                         serving.heard_at_ms = clock.now_ms()
-                        serving.run.append(part)
+                        serving.run.append(event)
                         serving.flush(load)
                         if serving.is_backlogged:
-                            # Silence is now the reader's, not the target's.
+                            # The reader is slow, so idle time must not count
+                            # against the target.
                             serving.heard_at_ms = 0
                             await serving.wait_for_readers()
                     case engine_call.Head():
-                        serving.run.status = part.status
-                        serving.run.content_type = part.content_type
+                        serving.run.status = event.status
+                        serving.run.content_type = event.content_type
                         serving.head_known = True
                     case result.Failure():
-                        return part
+                        return event
         return None
 
     async def run_load(self, action: event_lib.StartLoad) -> None:
-        """Performs a load order and finds out what became of it."""
+        """Sends a load order and determines its outcome."""
         source = self._source_of(action.adapter)
         answer = await self.engine.load(action.adapter, source, action.order)
         if isinstance(answer, result.Failure):
-            # The answer may be lost and the order have taken effect.
-            answer = await self._look_for(action.adapter, True) or answer
+            # The order may have taken effect although its answer was lost.
+            answer = (
+                await self._confirm_residency(action.adapter, True) or answer
+            )
         outcome = "failed" if isinstance(answer, result.Failure) else "loaded"
         self.metrics.loads.inc({"outcome": outcome})
         if isinstance(answer, result.Failure):
@@ -342,14 +346,16 @@
                 )
             )
             return
-        self._notice(answer, action.incarnation)
+        self._check_incarnation(answer, action.incarnation)
         self.handle(event_lib.Loaded(action.adapter, answer, action.order))
 
     async def run_unload(self, action: event_lib.StartUnload) -> None:
-        """Performs an unload order and finds out what became of it."""
+        """Sends an unload order and determines its outcome."""
         answer = await self.engine.unload(action.adapter, action.order)
         if isinstance(answer, result.Failure):
-            answer = await self._look_for(action.adapter, False) or answer
+            answer = (
+                await self._confirm_residency(action.adapter, False) or answer
+            )
         failed = isinstance(answer, result.Failure)
         self.metrics.unloads.inc(
             {"outcome": "failed" if failed else "unloaded"}
@@ -361,29 +367,29 @@
                 )
             )
             return
-        self._notice(answer, action.incarnation)
+        self._check_incarnation(answer, action.incarnation)
         self.handle(event_lib.Unloaded(action.adapter, answer, action.order))
 
-    async def _look_for(self, adapter: str, resident: bool) -> str:
-        """Returns the incarnation that does or does not hold an adapter.
+    async def _confirm_residency(self, adapter: str, resident: bool) -> str:
+        """Returns the engine's incarnation if residency is as expected.
 
         Args:
             adapter: ``name@version``.
-            resident: Whether it should be resident.
+            resident: Whether the adapter should be resident.
 
         Returns:
-            The incarnation, empty if it is otherwise or not known.
+            The incarnation, empty if the residency differs or is unknown.
         """
-        seen = await self.engine.get_state()
-        if isinstance(seen, result.Failure):
+        state = await self.engine.get_state()
+        if isinstance(state, result.Failure):
             return ""
-        as_hoped = (adapter in seen.resident) == resident
-        return seen.incarnation if as_hoped else ""
+        is_confirmed = (adapter in state.resident) == resident
+        return state.incarnation if is_confirmed else ""
 
-    def _notice(self, answering: str, ordered: str) -> None:
-        """Looks at once at an engine that has restarted unseen."""
+    def _check_incarnation(self, answering: str, ordered: str) -> None:
+        """Polls the engine at once if a new incarnation answered an order."""
         if answering != ordered:
-            self._look_now.set()
+            self._poll_requested.set()
 
     def _source_of(self, exact: str) -> str:
         name, _, version_text = exact.partition("@")
@@ -395,12 +401,12 @@
                 return entry.source
         return ""
 
-    async def ask_priors(self, action: event_lib.AskPriorHomes) -> None:
-        """Asks former homes about a key and reports their worst answer."""
+    async def ask_prior_homes(self, action: event_lib.AskPriorHomes) -> None:
+        """Asks prior homes about a key and reports the worst answer."""
         answers: list[ledger_lib.SealReply] = []
 
         async def ask(name: str) -> None:
-            answers.append(await self._ask_prior(name, action.key))
+            answers.append(await self._ask_prior_home(name, action.key))
 
         async with anyio.create_task_group() as tasks:
             for name in action.targets:
@@ -412,7 +418,7 @@
             worst = ledger_lib.SealReply.UNKNOWN
         self.handle(event_lib.PriorHomesAnswered(action.attempt_id, worst))
 
-    async def _ask_prior(
+    async def _ask_prior_home(
         self, name: str, key: ledger_lib.Key
     ) -> ledger_lib.SealReply:
         target = self.configuration.held.document.targets.get(name)
@@ -433,59 +439,59 @@
         return ledger_lib.SealReply.UNKNOWN
 
     async def watch_engine(self) -> None:
-        """Asks the engine for its state, again and again."""
-        misses = 0
+        """Polls the state of the engine until cancelled."""
+        failed_polls = 0
         while True:
             asked_at_ms = clock.now_ms()
-            seen = await self.engine.get_state()
-            if isinstance(seen, result.Failure):
-                misses += 1
-                if misses == LOOKS_BEFORE_LOST:
-                    logs.warn("engine_lost", reason=seen.message)
+            state = await self.engine.get_state()
+            if isinstance(state, result.Failure):
+                failed_polls += 1
+                if failed_polls == FAILED_POLLS_BEFORE_LOST:
+                    logs.warn("engine_lost", reason=state.message)
                     self.handle(event_lib.EngineLost())
             else:
-                misses = 0
-                if seen.incarnation != self.machine.residency.incarnation:
-                    # An order of this slot's former process may still be on
-                    # its way and unload what is granted here. An engine that
-                    # checks fencing numbers refuses it from now on.
+                failed_polls = 0
+                if state.incarnation != self.machine.residency.incarnation:
+                    # An order of this slot's former process may still be in
+                    # flight and would unload an adapter in use here. An engine
+                    # that checks fencing numbers rejects it from now on.
                     await self.engine.raise_fence(self.machine.residency.order)
                 self.handle(
                     event_lib.EngineObserved(
-                        seen.incarnation, seen.resident, asked_at_ms
+                        state.incarnation, state.resident, asked_at_ms
                     )
                 )
-            self._look_now = anyio.Event()
+            self._poll_requested = anyio.Event()
             with anyio.move_on_after(self.own.poll_ms / MS_PER_S):
-                await self._look_now.wait()
+                await self._poll_requested.wait()
 
     async def tick(self) -> None:
-        """Lets time pass for the decisions."""
+        """Sends time events to the state machine until cancelled."""
         while True:
             if self.machine.idle:
-                self._busy = anyio.Event()
+                self._work_arrived = anyio.Event()
                 with anyio.move_on_after(IDLE_TICK_MS / MS_PER_S):
-                    await self._busy.wait()
+                    await self._work_arrived.wait()
             else:
                 await anyio.sleep(TICK_MS / MS_PER_S)
             self.handle(event_lib.Ticked())
             now_ms = clock.now_ms()
-            self._cut_silent(now_ms)
+            self._abort_stalled_runs(now_ms)
             oldest_ms = now_ms - self.own.resume_ms
             for owner_id, serving in list(self.servings.items()):
                 if 0 < serving.orphaned_at_ms < oldest_ms:
                     serving.orphaned_at_ms = 0
                     self._abandon(owner_id, serving)
 
-    def _cut_silent(self, now_ms: int) -> None:
-        """Ends runs whose target has sent nothing for too long.
+    def _abort_stalled_runs(self, now_ms: int) -> None:
+        """Aborts runs whose target has sent nothing for too long.
 
-        Reads of an answer carry no timeout of their own, see ``backend``.
+        Reads of a response have no timeout of their own, see ``backend``.
         """
         oldest_ms = now_ms - self.own.run_timeout_ms
         for serving in list(self.servings.values()):
-            silent = 0 < serving.heard_at_ms < oldest_ms
-            if silent and serving.run.ended is None:
+            is_stalled = 0 < serving.heard_at_ms < oldest_ms
+            if is_stalled and serving.run.ended is None:
                 serving.heard_at_ms = 0
                 serving.failure = result.Failure(
                     result.TARGET_FAILED,
@@ -493,15 +499,15 @@
                 )
                 serving.scope.cancel()
 
-    def leaving_heard(self, names: frozenset[str]) -> None:
-        """Learns from a peer who leaves."""
+    def on_leaving_reported(self, names: frozenset[str]) -> None:
+        """Handles a peer's report of which targets are draining."""
         if self.settings.name in names:
             self.handle(event_lib.DrainRequested())
 
     async def watch_vms(self) -> None:
-        """Learns from the platform's list that this VM leaves.
+        """Watches the platform's list for the draining of this VM.
 
-        Only watchers read the list; the others hear it from peers.
+        Only watchers read the list; other targets receive it from peers.
         """
         revision: int | None = None
         while True:
@@ -509,18 +515,18 @@
                 self.configuration_gossip is not None
                 and not self.configuration_gossip.watches()
             ):
-                await anyio.sleep(LEAVE_LIST_MS / MS_PER_S)
+                await anyio.sleep(VM_LIST_RETRY_MS / MS_PER_S)
                 continue
             listed = await self.store.list_vms(watch=revision)
             if isinstance(listed, result.Failure):
                 revision = None
-                await anyio.sleep(LEAVE_LIST_MS / MS_PER_S)
+                await anyio.sleep(VM_LIST_RETRY_MS / MS_PER_S)
                 continue
             if isinstance(listed, str):
                 continue
             revision, vms = listed
             leaving = tuple(sorted(vm.name for vm in vms if vm.leaving))
-            self.leaving_heard(frozenset(leaving))
+            self.on_leaving_reported(frozenset(leaving))
             if self.configuration_gossip is not None:
                 self.configuration_gossip.announce_leaving(leaving)
 
@@ -563,14 +569,14 @@
         }
 
     async def drain(self) -> int:
-        """Rejects new work and waits for what runs.
+        """Rejects new work and waits for running work.
 
         Returns:
-            How many runs were cut at the limit.
+            The number of runs aborted at the time limit.
         """
         self.handle(event_lib.DrainRequested())
         with anyio.move_on_after(self.own.drain_ms / MS_PER_S):
-            while not self.machine.idle or self._unread():
+            while not self.machine.idle or self._has_unread_runs():
                 await anyio.sleep(TICK_MS / MS_PER_S)
         for running in self.machine.running.values():
             self.metrics.cut.inc({"reason": "drain"})
@@ -582,7 +588,7 @@
             )
         return len(self.machine.running)
 
-    def _unread(self) -> bool:
+    def _has_unread_runs(self) -> bool:
         return any(
             serving.run.readers or serving.orphaned_at_ms
             for serving in self.servings.values()
@@ -598,13 +604,13 @@
         anyio.TASK_STATUS_IGNORED
     ),
 ) -> None:
-    """Runs a target process until it is told to stop, then drains it.
+    """Runs a target process until ``stop`` is set, then drains it.
 
     Args:
         settings: Its settings.
         stop: Set to start the drain.
         random_source: Its random source.
-        task_status: Given the process once it listens.
+        task_status: Receives the process once it listens.
     """
     own = settings.target
     metrics = metrics_lib.Metrics(name=settings.name)
@@ -624,7 +630,7 @@
             process.configuration,
             random_source or random.Random(),
         )
-        configuration_gossip.on_leaving = process.leaving_heard
+        configuration_gossip.on_leaving = process.on_leaving_reported
         process.configuration_gossip = configuration_gossip
         tasks.start_soon(control.run)
         tasks.start_soon(
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets that run them."""
+"""Requests that crash the targets that run them."""
 
 import itertools
 
@@ -21,20 +21,22 @@
     return Fault.CRASH if seen.body == POISON else Fault.NONE
 
 
-def _breaks(gateway: gateway_lib.Gateway, *, ended: bool) -> int:
-    """Returns how many targets broke off, by whether they had ended."""
-    wanted = "yes" if ended else "no"
+def _count_aborted_responses(
+    gateway: gateway_lib.Gateway, *, ended: bool
+) -> int:
+    """Returns the number of aborted responses, with or without a crash."""
+    label = "yes" if ended else "no"
     samples = gateway.metrics.crashes.get_all()
     return sum(
-        round(count) for labels, count in samples if labels["ended"] == wanted
+        round(count) for labels, count in samples if labels["ended"] == label
     )
 
 
-def test_a_target_that_ended_is_told_from_one_that_lost_an_answer() -> None:
-    """An operator sees 502 and cannot tell a crash from a broken connection.
+def test_a_crash_is_told_apart_from_a_broken_connection() -> None:
+    """An operator sees 502 both for a crash and for a broken connection.
 
-    Both break the answer off; what ended refuses connections afterwards. The
-    log gave the same line for the two, ``sends=["i-...:lost"]``.
+    Both abort the response, but a crashed target refuses connections
+    afterwards. The log had the same line for both, ``sends=["i-...:lost"]``.
     """
 
     async def play() -> None:
@@ -44,15 +46,17 @@
                 target.fault = lambda seen: Fault.RESET_AFTER_RUN
             await fleet.call("/book/1", body=b"a booking")
             await fleet.until(
-                lambda: _breaks(gateway, ended=False) == 1, "one is looked into"
+                lambda: _count_aborted_responses(gateway, ended=False) == 1,
+                "one is looked into",
             )
-            assert not _breaks(gateway, ended=True)
+            assert not _count_aborted_responses(gateway, ended=True)
             for target in fleet.targets.values():
                 target.fault = _crash_on_poison
             answer = await fleet.call("/book/1", body=POISON)
             assert answer.status == 502, answer
             await fleet.until(
-                lambda: _breaks(gateway, ended=True) == 1, "one has ended"
+                lambda: _count_aborted_responses(gateway, ended=True) == 1,
+                "one has ended",
             )
 
     fixtures.run(play)
@@ -61,7 +65,7 @@
 async def _add_gateways(
     fleet: fixtures.Fleet, count: int
 ) -> list[gateway_lib.Gateway]:
-    """Starts further gateways, which read changes of targets quickly."""
+    """Starts more gateways, which apply changes of targets quickly."""
     seeds = (fleet.gateway.own.peers,)
     gateways = [
         await fleet.add_gateway(seeds, leaving_ms=100) for _ in range(count)
@@ -81,10 +85,10 @@
     return {member.listing.instance for member in members}
 
 
-async def _all_know(
+async def _wait_until_all_usable(
     fleet: fixtures.Fleet, gateways: list[gateway_lib.Gateway]
 ) -> None:
-    """Waits until all plain targets that run are used."""
+    """Waits until all gateways may use all plain targets."""
     plain = {name for name, one in fleet.targets.items() if not one.model}
     await fleet.until(
         lambda: all(_usable(one) == plain for one in gateways),
@@ -95,19 +99,20 @@
 async def _crash_once(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> fixtures.Answer:
-    """Sends the request once, and starts what it ended again."""
-    before = _breaks(gateway, ended=True)
+    """Sends the request once and restarts the target that it crashed."""
+    before = _count_aborted_responses(gateway, ended=True)
     answer = await fleet.call("/book/1", body=POISON, gateway=gateway)
     if any(target.ended for target in fleet.targets.values()):
         await fleet.until(
-            lambda: _breaks(gateway, ended=True) > before, "it is noticed"
+            lambda: _count_aborted_responses(gateway, ended=True) > before,
+            "it is noticed",
         )
         await fleet.restart_ended()
     return answer
 
 
-def _arm(fleet: fixtures.Fleet) -> list[str]:
-    """Has the request end whatever runs it; returns a log of its runs."""
+def _crash_on_every_run(fleet: fixtures.Fleet) -> list[str]:
+    """Makes the request crash any target; returns a log of its runs."""
     runs: list[str] = []
 
     def crash(seen: platform_engine.Seen) -> Fault:
@@ -121,26 +126,25 @@
     return runs
 
 
-def test_a_request_that_ends_targets_is_not_sent_on_and_on() -> None:
-    """One request ended ten engines in 16 s, seven after the first three.
+def test_a_request_that_crashes_targets_is_quarantined() -> None:
+    """One request crashed ten engines in 16 s, seven after the first three.
 
-    It came again every one to three seconds through five gateways, and each
-    of them sent it to the next engine, as nothing was kept of what a target
-    had ended under. The same adapter stood in all eight crashes that the logs
-    hold, at 8.727, 9.549, 9.980, 14.796, 17.161, 19.696, 23.102 and 24.253 s,
-    always ``status=502 code=3011 sends=["i-...:lost"]`` some 350 ms after the
-    request came. Three repeats may still reach a target while gateways learn
-    of the third crash; later ones are to be refused.
+    It was repeated every one to three seconds through five gateways. Each sent
+    it to the next engine, because no gateway recorded which request an engine
+    had crashed under. All eight crashes in the logs had the same adapter and
+    ``status=502 code=3011``, and came some 350 ms after the request. Three
+    repeats may still reach a target while gateways receive the report of the
+    third crash; later ones must be rejected.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 3)
-            runs = _arm(fleet)
+            runs = _crash_on_every_run(fleet)
             answers = []
             for gateway in itertools.islice(itertools.cycle(gateways), 12):
                 answers.append(await _crash_once(fleet, gateway))
-                await _all_know(fleet, gateways)
+                await _wait_until_all_usable(fleet, gateways)
             assert len(runs) <= 3 + 3, runs
             for answer in answers[-3:]:
                 assert answer.status == 503, answer
@@ -149,13 +153,13 @@
     fixtures.run(play)
 
 
-async def _convict(
+async def _quarantine_everywhere(
     fleet: fixtures.Fleet, gateways: list[gateway_lib.Gateway]
 ) -> None:
-    """Sends the request until it is refused at all gateways."""
+    """Sends the request until all gateways quarantine it."""
     for gateway in itertools.cycle(gateways):
         await _crash_once(fleet, gateway)
-        await _all_know(fleet, gateways)
+        await _wait_until_all_usable(fleet, gateways)
         if all(
             one.crash_gossip.evidence.quarantined(clock.boot_ms())
             for one in gateways
@@ -163,46 +167,50 @@
             return
 
 
-def test_a_gateway_that_starts_refuses_what_the_others_refuse() -> None:
-    """A gateway is replaced while a request that ends targets goes round.
+def test_a_new_gateway_receives_quarantines() -> None:
+    """A gateway is replaced while a request that crashes targets is repeated.
 
-    What was known of it lay in the memory of the others, and the new one sent
-    it to the next target.
+    The evidence was only in the memory of the others, so the new gateway sent
+    the request to the next target.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 2)
-            runs = _arm(fleet)
-            await _convict(fleet, gateways)
-            (late,) = await _add_gateways(fleet, 1)
+            runs = _crash_on_every_run(fleet)
+            await _quarantine_everywhere(fleet, gateways)
+            (new_gateway,) = await _add_gateways(fleet, 1)
             await fleet.until(
                 lambda: bool(
-                    late.crash_gossip.evidence.quarantined(clock.boot_ms())
+                    new_gateway.crash_gossip.evidence.quarantined(
+                        clock.boot_ms()
+                    )
                 ),
                 "it has been told",
             )
             before = len(runs)
-            answer = await fleet.call("/book/1", body=POISON, gateway=late)
+            answer = await fleet.call(
+                "/book/1", body=POISON, gateway=new_gateway
+            )
             assert answer.status == 503 and len(runs) == before, answer
 
     fixtures.run(play)
 
 
-def test_an_equal_request_that_ends_well_clears_it_everywhere() -> None:
-    """Targets end under a request that is not to blame.
+def test_a_success_clears_a_suspect_at_all_gateways() -> None:
+    """Targets crash while they run a request that is not the cause.
 
-    Once they run it to its end it is to be refused nowhere, also at gateways
+    Once an equal request succeeds, no gateway may reject it, including those
     that have not served it since.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 2)
-            _arm(fleet)
+            _crash_on_every_run(fleet)
             for _ in range(2):
                 await _crash_once(fleet, gateways[0])
-                await _all_know(fleet, gateways)
+                await _wait_until_all_usable(fleet, gateways)
             for target in fleet.targets.values():
                 target.fault = lambda seen: Fault.NONE
             answer = await fleet.call(
@@ -222,18 +230,18 @@
     fixtures.run(play)
 
 
-def test_a_target_that_leaves_ends_under_nobody() -> None:
-    """Targets are replaced one after the other, and cut what they still run.
+def test_aborted_responses_of_draining_targets_are_no_crashes() -> None:
+    """Targets are replaced one after the other and abort what they run.
 
-    A slow request that is sent on to the next one each time would stand at
-    three ends in turn, and be refused though no target ended for it.
+    A slow request that is sent on to the next target each time would have three
+    consecutive crashes, and be quarantined although it crashed no target.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = fleet.gateway
-            leaver = fleet.targets["i-plain0"]
-            leaver.leaving = True
+            draining_target = fleet.targets["i-plain0"]
+            draining_target.leaving = True
             spec = fleet.store.objects["servers"]["i-plain1"]["spec"]
             fleet.store.put("servers", "i-plain1", spec | {"state": "draining"})
             await fleet.until(
@@ -254,18 +262,18 @@
     fixtures.run(play)
 
 
-def test_a_gateway_that_missed_a_clearance_is_told_again() -> None:
-    """A word is lost, and one gateway goes on refusing an innocent request.
+def test_a_missed_clearance_is_sent_again() -> None:
+    """A report is lost, and one gateway keeps rejecting an innocent request.
 
-    It refuses all of them, so it would see none end well itself; what it tells
-    of the crashes shows another that it has not heard.
+    As it rejects all equal requests, it never observes a success itself. Its
+    crash reports show the other gateways that it missed the clearance.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=1) as fleet:
-            knows, missed = await _add_gateways(fleet, 2)
+            cleared, uncleared = await _add_gateways(fleet, 2)
             now_ms = clock.boot_ms()
-            starts = [
+            incarnation_ids = [
                 incarnation.IncarnationId(f"i{number}", 1)
                 for number in range(3)
             ]
@@ -274,27 +282,28 @@
                     incarnation_id, now_ms - ago_ms - 300, now_ms - ago_ms
                 )
                 for incarnation_id, ago_ms in zip(
-                    starts, (9_000, 6_000, 3_000), strict=True
+                    incarnation_ids, (9_000, 6_000, 3_000), strict=True
                 )
             )
             record = crash_evidence.Record("07" * 16, observations)
-            for gateway in (knows, missed):
+            for gateway in (cleared, uncleared):
                 gateway.crash_gossip.merge([record], source="test")
-            knows.crash_gossip.evidence.succeeded("07" * 16, now_ms)
-            assert missed.crash_gossip.quarantine("07" * 16) is not None
+            cleared.crash_gossip.evidence.succeeded("07" * 16, now_ms)
+            assert uncleared.crash_gossip.quarantine("07" * 16) is not None
             await fleet.until(
-                lambda: missed.crash_gossip.quarantine("07" * 16) is None,
+                lambda: uncleared.crash_gossip.quarantine("07" * 16) is None,
                 "it has been told",
             )
 
     fixtures.run(play)
 
 
-def test_after_its_time_one_is_tried_and_the_others_wait_for_it() -> None:
-    """A request is refused at all gateways, so none of it can end well.
+def test_one_trial_at_a_time_ends_a_quarantine() -> None:
+    """A request that all gateways reject can never succeed and be cleared.
 
-    Let through at once everywhere, all that come would end a target each if
-    they do; one at a time, at one gateway, ends one at most, or clears it.
+    If all gateways let it through when the quarantine ends, each repeat could
+    crash a target. One trial at a time, at one gateway, crashes at most one
+    target or clears the request.
     """
 
     async def play() -> None:
@@ -322,8 +331,10 @@
             record = crash_evidence.Record(fingerprint, observations)
             for gateway in gateways:
                 gateway.crash_gossip.merge([record], source="test")
-            slow = {target: target.timing for target in fleet.targets.values()}
-            for target in slow:
+            targets = {
+                target: target.timing for target in fleet.targets.values()
+            }
+            for target in targets:
                 target.timing = platform_engine.Timing(work_ms=200.0)
             answers: list[fixtures.Answer] = []
 
@@ -352,53 +363,57 @@
     fixtures.run(play)
 
 
-def test_a_site_that_restarts_whole_still_refuses_it() -> None:
-    """All gateways restart at once, and the request comes again.
+def test_quarantines_survive_a_restart_of_all_gateways() -> None:
+    """All gateways restart at once, and the request is sent again.
 
-    What was known of it lay in their memory alone, so the next three targets
-    ended under it before it was refused once more.
+    The evidence was only in their memory, so the request crashed three more
+    targets before it was rejected again.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 1)
-            runs = _arm(fleet)
-            # The answer to the write is lost, which proves nothing.
+            runs = _crash_on_every_run(fleet)
+            # The answer to the write is lost, so its outcome is unknown.
             fleet.store.faults.loses_answers = True
-            await _convict(fleet, gateways)
-            kept = fleet.store.objects.get("crashes", {})
-            await fleet.until(lambda: bool(kept), "it is kept")
+            await _quarantine_everywhere(fleet, gateways)
+            stored = fleet.store.objects.get("crashes", {})
+            await fleet.until(lambda: bool(stored), "it is kept")
             fleet.store.faults.loses_answers = False
             fleet.store.put("crashes", "foreign", {"fingerprint": 7})
-            # This one knows no other gateway, nor is it known to any.
-            late = await fleet.add_gateway()
+            # This gateway and the others do not know of each other.
+            new_gateway = await fleet.add_gateway()
             await fleet.until(
                 lambda: (
-                    not late.ready()
+                    not new_gateway.ready()
                     and bool(
-                        late.crash_gossip.evidence.quarantined(clock.boot_ms())
+                        new_gateway.crash_gossip.evidence.quarantined(
+                            clock.boot_ms()
+                        )
                     )
                 ),
                 "it has read what is kept",
             )
             before = len(runs)
-            answer = await fleet.call("/book/1", body=POISON, gateway=late)
+            answer = await fleet.call(
+                "/book/1", body=POISON, gateway=new_gateway
+            )
             assert answer.status == 503 and len(runs) == before, answer
             assert "foreign" in fleet.store.objects["crashes"]
 
     fixtures.run(play)
 
 
-def test_a_refusal_in_an_outage_is_kept_afterwards() -> None:
-    """The store is away as the third target ends."""
+def test_a_quarantine_in_a_store_outage_is_stored_afterwards() -> None:
+    """The store is unreachable when the third target crashes."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=3) as fleet:
             gateways = await _add_gateways(fleet, 1)
-            _arm(fleet)
+            _crash_on_every_run(fleet)
             for _ in range(2):
                 await _crash_once(fleet, gateways[0])
-                await _all_know(fleet, gateways)
+                await _wait_until_all_usable(fleet, gateways)
             fleet.store.faults.refuses = True
             await fleet.call("/book/1", body=POISON, gateway=gateways[0])
             await fleet.until(
--- a/tests/fleet/test_target_news.py
+++ b/tests/fleet/test_target_news.py
@@ -1,4 +1,4 @@
-"""What targets tell of themselves in their answers."""
+"""Signals that targets send in the headers of their responses."""
 
 from radishd import gateway as gateway_lib
 from radishd.connection import http_client
@@ -17,13 +17,13 @@
 CALLS = 12
 
 
-async def _pass(fleet: fixtures.Fleet, time_ms: int) -> None:
-    """Waits until so much time has passed."""
+async def _sleep(fleet: fixtures.Fleet, time_ms: int) -> None:
+    """Waits until the given time has passed."""
     until_ms = clock.boot_ms() + time_ms
     await fleet.until(lambda: clock.boot_ms() > until_ms, "time passes")
 
 
-async def _call(
+async def _send_requests(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> list[fixtures.Answer]:
     return [
@@ -32,54 +32,53 @@
     ]
 
 
-async def _hear_of_leaving(
+async def _drain_in_outage(
     fleet: fixtures.Fleet, gateway: gateway_lib.Gateway
 ) -> platform_engine.PlatformEngine:
-    """Has a target leave in an outage, and the gateway pass its word on."""
+    """Drains a target in a store outage; its responses report it."""
     fleet.store.faults.refuses = True
-    leaver = fleet.targets["i-plain0"]
-    leaver.leaving = True
-    answers = await _call(fleet, gateway)
+    draining_target = fleet.targets["i-plain0"]
+    draining_target.leaving = True
+    answers = await _send_requests(fleet, gateway)
     assert any("server-leaving" in one.headers for one in answers)
-    return leaver
+    return draining_target
 
 
-def test_a_target_whose_answers_say_that_it_leaves_gets_no_more_work() -> None:
-    """Requests came 2,103 and 2,497 ms after an engine's word that it leaves.
+def test_a_target_that_reports_draining_gets_no_requests() -> None:
+    """Requests reached a target 2,103 and 2,497 ms after it began to drain.
 
-    2,000 ms are allowed. The store took no change from 6.5 s on, so what the
-    engine registered at 7.5 s stayed unread. Its answers said
-    ``Server-Leaving: 1`` from then on: a gateway passed one on at 7.68 s and
-    sent to it at 9.781 s and 10.037 s all the same. The header was handed to
-    callers and read by nobody.
+    2,000 ms are allowed. The store accepted no changes, so gateways did not
+    read the target's new registration. Its responses had ``Server-Leaving: 1``,
+    but gateways only passed the header on to callers and kept sending requests.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = await fleet.add_gateway(leaving_ms=LEAVING_MS)
             await fleet.until(lambda: not gateway.ready(), "it is up")
-            leaver = await _hear_of_leaving(fleet, gateway)
-            await _pass(fleet, LEAVING_MS)
-            before = len(leaver.seen)
-            answers = await _call(fleet, gateway)
+            draining_target = await _drain_in_outage(fleet, gateway)
+            await _sleep(fleet, LEAVING_MS)
+            before = len(draining_target.seen)
+            answers = await _send_requests(fleet, gateway)
             assert all(one.status == 200 for one in answers), answers
-            assert len(leaver.seen) == before
+            assert len(draining_target.seen) == before
 
     fixtures.run(play)
 
 
-def test_no_list_brings_back_a_target_that_said_it_leaves() -> None:
-    """The store returns with the state that it had before the outage.
+def test_a_listing_does_not_undo_reported_draining() -> None:
+    """After a store outage the store has the state from before it.
 
-    The entry that says ``ready`` was written before the target's word, or its
-    entry lapsed and is made anew; neither takes the word back.
+    Its record with the state ``ready`` was written before the target reported
+    draining, or the record expired and was written anew. Neither may make
+    gateways use the target again.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = await fleet.add_gateway(leaving_ms=LEAVING_MS)
             await fleet.until(lambda: not gateway.ready(), "it is up")
-            leaver = await _hear_of_leaving(fleet, gateway)
+            draining_target = await _drain_in_outage(fleet, gateway)
             spec = fleet.store.objects[TARGETS]["i-plain0"]["spec"]
             fleet.store.delete(TARGETS, "i-plain0")
             fleet.store.put(TARGETS, "i-plain0", spec)
@@ -92,19 +91,19 @@
                 ),
                 "it has read the list",
             )
-            await _pass(fleet, LEAVING_MS)
-            before = len(leaver.seen)
-            await _call(fleet, gateway)
-            assert len(leaver.seen) == before
+            await _sleep(fleet, LEAVING_MS)
+            before = len(draining_target.seen)
+            await _send_requests(fleet, gateway)
+            assert len(draining_target.seen) == before
 
     fixtures.run(play)
 
 
-def test_a_target_that_asks_for_rest_gets_it() -> None:
-    """A full target turns requests away and says for how long it wants none.
+def test_a_target_in_backoff_gets_no_requests() -> None:
+    """A full target rejects requests and reports how long to back off.
 
-    Each gateway sent on at once, so a target that had asked for minutes was
-    asked again with every request. Two may still reach it.
+    Gateways ignored the time, so a target that had requested a backoff of
+    minutes still received every request. Two requests may still reach it.
     """
 
     async def play() -> None:
@@ -112,20 +111,20 @@
             full = fleet.targets["i-plain0"]
             full.fault = lambda seen: Fault.SHED
             full.rest_s = 600.0
-            answers = await _call(fleet, fleet.gateway)
+            answers = await _send_requests(fleet, fleet.gateway)
             assert all(one.status == 200 for one in answers), answers
-            await _pass(fleet, 500)
+            await _sleep(fleet, 500)
             before = len(full.seen)
-            await _call(fleet, fleet.gateway)
+            await _send_requests(fleet, fleet.gateway)
             assert len(full.seen) - before <= 2
 
     fixtures.run(play)
 
 
-def test_where_all_targets_rest_callers_are_told_how_long() -> None:
-    """All targets want nothing for a while; a caller is refused at once.
+def test_callers_get_retry_after_if_all_targets_are_in_backoff() -> None:
+    """All targets are in backoff, so requests are rejected at once.
 
-    Sent on all the same, each request would be one more that they turn away.
+    Requests sent anyway would only be rejected by the targets.
     """
 
     async def play() -> None:
@@ -133,36 +132,36 @@
             for target in fleet.targets.values():
                 target.fault = lambda seen: Fault.SHED
                 target.rest_s = 600.0
-            await _call(fleet, fleet.gateway)
-            await _pass(fleet, 500)
+            await _send_requests(fleet, fleet.gateway)
+            await _sleep(fleet, 500)
             before = sum(len(one.seen) for one in fleet.targets.values())
-            answers = await _call(fleet, fleet.gateway)
+            answers = await _send_requests(fleet, fleet.gateway)
             after = sum(len(one.seen) for one in fleet.targets.values())
             assert after - before <= 2 * len(fleet.targets)
             for answer in answers[-1:]:
                 assert answer.status == 503, answer
-                # Returners are spread, so that they do not meet again.
+                # The time is randomized, to spread out retries.
                 assert 60 < float(answer.headers["retry-after"]) <= 601
 
     fixtures.run(play)
 
 
-def test_another_start_of_a_target_is_used_again() -> None:
-    """A target that left starts again under its name, and takes work."""
+def test_a_new_incarnation_of_a_drained_target_is_used() -> None:
+    """A drained target restarts under its name and gets requests."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             gateway = await fleet.add_gateway(leaving_ms=LEAVING_MS)
             await fleet.until(lambda: not gateway.ready(), "it is up")
-            leaver = await _hear_of_leaving(fleet, gateway)
-            leaver.restart(leaver.born_ms + 1)
+            draining_target = await _drain_in_outage(fleet, gateway)
+            draining_target.restart(draining_target.born_ms + 1)
             address = fleet.store.objects[TARGETS]["i-plain0"]["spec"][
                 "address"
             ]
             fleet.store.put(
                 TARGETS,
                 "i-plain0",
-                leaver.listing(platform_site.PLAIN, address, "north"),
+                draining_target.listing(platform_site.PLAIN, address, "north"),
             )
             fleet.store.faults.refuses = False
             await fleet.until(
@@ -190,11 +189,11 @@
     return member
 
 
-def test_a_rest_lasts_as_long_as_was_asked_for() -> None:
-    """An ejection ends soon and spares the last target; a rest does neither.
+def test_a_backoff_lasts_as_long_as_requested() -> None:
+    """An ejection is short and spares the last target; a backoff does neither.
 
-    Sent on when the ejection ended, a request reached the target every other
-    second of its rest.
+    When a backoff was treated as an ejection, a request reached the target
+    every other second, each time the ejection ended.
     """
     roster = roster_lib.Roster(2_500)
     first, second = _member(roster, "1"), _member(roster, "2")
@@ -211,23 +210,28 @@
     assert first in roster.usable(platform_site.PLAIN, later_ms)
 
 
-def test_who_said_that_it_leaves_is_remembered_within_bounds() -> None:
-    """Starts come and go for years; memory holds the newest words."""
+def test_draining_incarnations_are_remembered_within_bounds() -> None:
+    """Incarnations change for years; only the newest are remembered."""
     roster = roster_lib.Roster(2_500)
     count = 3 * roster_lib.MAX_REMEMBERED_TARGETS
-    starts = [
+    incarnation_ids = [
         incarnation.IncarnationId(f"i{number}", 1) for number in range(count)
     ]
-    for incarnation_id in starts:
+    for incarnation_id in incarnation_ids:
         assert roster.mark_draining(incarnation_id)
         assert not roster.mark_draining(incarnation_id)
-    remembered = [one for one in starts if roster.is_draining(one)]
-    assert remembered == starts[-roster_lib.MAX_REMEMBERED_TARGETS :]
-    assert not roster.is_draining(incarnation.IncarnationId(starts[-1].name, 2))
+    remembered = [one for one in incarnation_ids if roster.is_draining(one)]
+    assert remembered == incarnation_ids[-roster_lib.MAX_REMEMBERED_TARGETS :]
+    assert not roster.is_draining(
+        incarnation.IncarnationId(incarnation_ids[-1].name, 2)
+    )
+
 
+def test_signals_apply_only_to_the_target_that_answered() -> None:
+    """An incarnation at a reused address rejects requests for the former.
 
-def test_an_answer_speaks_only_of_who_gave_it() -> None:
-    """A start that took an address over refuses what was meant for another."""
+    The signals in this response must not apply to the former incarnation.
+    """
     leaving = (b"server-leaving", b"1")
     for headers, status, expected in (
         ((leaving,), 200, front.TargetSignals(leaving=True)),
@@ -247,8 +251,8 @@
         assert front.target_signals(head, "mine") == expected, headers
 
 
-def test_the_process_beside_an_engine_tells_that_it_leaves() -> None:
-    """A gateway that has no answer of the engine learns of it all the same."""
+def test_a_sidecar_reports_that_its_engine_is_draining() -> None:
+    """A gateway without any response of the engine also learns of it."""
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=2, plain=0) as fleet:
