--- a/packages/standins/src/standins/answer.py
+++ b/packages/standins/src/standins/answer.py
@@ -32,7 +32,7 @@
 ]
 
 
-def words_of(model: str, prompt: str, count: int) -> Iterator[str]:
+def generate_words(model: str, prompt: str, count: int) -> Iterator[str]:
     """Yields the words of an answer.
 
     Args:
@@ -49,14 +49,16 @@
         yield WORDS[byte % len(WORDS)]
 
 
-def prompt_of(body: dict[str, Any]) -> str:
+def get_prompt(body: dict[str, Any]) -> str:
     """Returns the prompt of a request in either OpenAI shape."""
     if "messages" in body:
         return json.dumps(body["messages"], sort_keys=True)
     return str(body.get("prompt", ""))
 
 
-def text_of(model: str, body: dict[str, Any]) -> str:
+def expected_text(model: str, body: dict[str, Any]) -> str:
     """Returns the whole answer to a request."""
     count = int(body.get("max_tokens", 16))
-    return "".join(f"{w} " for w in words_of(model, prompt_of(body), count))
+    return "".join(
+        f"{w} " for w in generate_words(model, get_prompt(body), count)
+    )
--- a/packages/standins/src/standins/batch.py
+++ b/packages/standins/src/standins/batch.py
@@ -53,13 +53,13 @@
         self.waiting: list[tuple[int, int, Sequence]] = []
         self.steps = 0
         self.tokens = 0
-        self._count = 0
+        self._added_count = 0
         self._work = anyio.Event()
 
     def add(self, sequence: Sequence) -> None:
         """Queues a sequence for the next step with room."""
-        self._count += 1
-        entry = (sequence.priority, self._count, sequence)
+        self._added_count += 1
+        entry = (sequence.priority, self._added_count, sequence)
         heapq.heappush(self.waiting, entry)
         self._work.set()
 
--- a/packages/standins/src/standins/demo.py
+++ b/packages/standins/src/standins/demo.py
@@ -91,9 +91,13 @@
     Yields:
         The entry daemon, ready.
     """
-    numbers = iter(range(port + 1, port + 100))
-    take: Callable[[], int] = lambda: next(numbers)  # noqa: E731
-    platform_port, weights_port, admin_port = take(), take(), take()
+    port_numbers = iter(range(port + 1, port + 100))
+    next_port: Callable[[], int] = lambda: next(port_numbers)  # noqa: E731
+    platform_port, weights_port, admin_port = (
+        next_port(),
+        next_port(),
+        next_port(),
+    )
     platform = settings_lib.PlatformSettings(
         url=f"http://{HOST}:{platform_port}"
     )
@@ -105,7 +109,13 @@
             ports = {}
             for name in ("engine-1", "engine-2", "booking-1"):
                 ports[name] = await _start_target(
-                    name, take, platform, weights_port, standins, daemons, stop
+                    name,
+                    next_port,
+                    platform,
+                    weights_port,
+                    standins,
+                    daemons,
+                    stop,
                 )
             settings = settings_lib.Settings(
                 role=settings_lib.Role.ENTRY,
@@ -115,37 +125,37 @@
                 entry=settings_lib.EntrySettings(
                     listen=f"{HOST}:{port}",
                     admin=f"{HOST}:{admin_port}",
-                    control=f"{HOST}:{take()}",
+                    control=f"{HOST}:{next_port()}",
                     unready_ms=1,
                     drain_ms=5_000,
                 ),
             )
-            running = await daemons.start(
+            entry_daemon = await daemons.start(
                 functools.partial(entry.run, settings, stop=stop)
             )
             await _apply(platform, demo_document(ports))
-            while running.ready():
+            while entry_daemon.ready():
                 await anyio.sleep(READY_POLL_S)
-            yield running
+            yield entry_daemon
             stop.set()
         standins.cancel_scope.cancel()
 
 
 async def _start_target(
     name: str,
-    take: Callable[[], int],
+    next_port: Callable[[], int],
     platform: settings_lib.PlatformSettings,
     weights_port: int,
     standins: anyio.abc.TaskGroup,
     daemons: anyio.abc.TaskGroup,
     stop: anyio.Event,
 ) -> int:
-    listen_port, admin_port, own_port = take(), take(), take()
+    listen_port, admin_port, own_port = next_port(), next_port(), next_port()
     is_engine = name.startswith("engine")
     if is_engine:
         url = f"http://{HOST}:{weights_port}"
-        behaviour = engine.EngineSettings(weight_store_url=url)
-        await standins.start(engine.run, behaviour, HOST, own_port)
+        engine_settings = engine.EngineSettings(weight_store_url=url)
+        await standins.start(engine.run, engine_settings, HOST, own_port)
     else:
         await standins.start(plain.run, HOST, own_port)
     kind = checks.TargetKind
@@ -189,7 +199,7 @@
 
 async def run(port: int) -> None:
     """Runs the demo until Ctrl-C."""
-    async with open_demo(port) as running:
+    async with open_demo(port) as entry_daemon:
         base = f"http://{HOST}:{port}"
         click.echo(f"radishstack serves on {base}")
         click.echo(f"status: {base.replace(str(port), str(port + 3))}/status")
@@ -208,4 +218,4 @@
             async for _ in signals:
                 break
         click.echo("stopping")
-        del running
+        del entry_daemon
--- a/packages/standins/src/standins/engine.py
+++ b/packages/standins/src/standins/engine.py
@@ -90,20 +90,20 @@
         self.cancelled = 0
         self.streams: dict[str, tuple[str, batch_lib.Sequence]] = {}
         self.report = {"running": 0, "waiting": 0}
-        self._start()
+        self._reset_state()
 
-    def _start(self) -> None:
+    def _reset_state(self) -> None:
         self.incarnation = secrets.token_hex(4)
         self.resident: set[str] = set()
         self.loading: set[str] = set()
         self.serving: dict[str, int] = {}
-        self.fence = 0
+        self.max_fencing_number = 0
 
     def restart(self) -> None:
         """Restarts cold: streams are cut, nothing is loaded."""
         self.batch.cut_all("the engine restarted")
         self.streams.clear()
-        self._start()
+        self._reset_state()
 
     async def run(self) -> None:
         """Runs the batch loop and the lagging load report."""
@@ -175,17 +175,17 @@
     ) -> None:
         await self._reply(request, {"error": {"message": message}}, status)
 
-    def _fenced_off(self, body: dict[str, object]) -> bool:
+    def _is_fenced_off(self, body: dict[str, object]) -> bool:
         number = int(body.get("fencing_number", 0) or 0)
-        if self.settings.checks_fencing and number < self.fence:
+        if self.settings.checks_fencing and number < self.max_fencing_number:
             return True
-        self.fence = max(self.fence, number)
+        self.max_fencing_number = max(self.max_fencing_number, number)
         return False
 
     async def _load(self, request: web.Request) -> None:
         body = request.json()
         name = str(body.get("lora_name", ""))
-        if self._fenced_off(body):
+        if self._is_fenced_off(body):
             await self._error(request, 409, "old fencing number")
             return
         if name in self.resident:
@@ -228,7 +228,7 @@
     async def _unload(self, request: web.Request) -> None:
         body = request.json()
         name = str(body.get("lora_name", ""))
-        if self._fenced_off(body):
+        if self._is_fenced_off(body):
             await self._error(request, 409, "old fencing number")
             return
         if self.serving.get(name, 0) > 0:
@@ -259,31 +259,33 @@
         if model not in self.resident and model != self.settings.base_model:
             await self._error(request, 404, f"{model} is not loaded")
             return
-        runs_on = self.faults.wrong_adapter or model
+        executed_model = self.faults.wrong_adapter or model
         request_id = request.headers.get("x-request-id", secrets.token_hex(8))
         key = request.headers.get("idempotency-key", "")
-        self.executions.append(Execution(request_id, runs_on, key))
+        self.executions.append(Execution(request_id, executed_model, key))
         count = int(body.get("max_tokens", 16))
-        words = answer.words_of(runs_on, answer.prompt_of(body), count)
+        words = answer.generate_words(
+            executed_model, answer.get_prompt(body), count
+        )
         sequence = batch_lib.Sequence(words, int(body.get("priority", 0)))
-        self.streams[request_id] = (runs_on, sequence)
+        self.streams[request_id] = (executed_model, sequence)
         incarnation = self.incarnation
         self.serving[model] = self.serving.get(model, 0) + 1
         self.batch.add(sequence)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._watch_caller, request, sequence)
-                await self._answer(request, body, runs_on, sequence)
+                tasks.start_soon(self._watch_disconnect, request, sequence)
+                await self._answer(request, body, executed_model, sequence)
                 tasks.cancel_scope.cancel()
         finally:
             self.streams.pop(request_id, None)
             if incarnation == self.incarnation:
                 self.serving[model] -= 1
 
-    async def _watch_caller(
+    async def _watch_disconnect(
         self, request: web.Request, sequence: batch_lib.Sequence
     ) -> None:
-        await request.wait_gone()
+        await request.wait_disconnected()
         if not sequence.finished and not sequence.failed:
             self.cancelled += 1
             self.batch.remove(sequence, "the caller left")
@@ -304,7 +306,9 @@
                 await self._error(request, 500, sequence.failed)
                 return
             text = "".join(f"{word} " for word in sequence.produced)
-            await request.reply(_whole(model, text, chat=chat), headers=headers)
+            await request.reply(
+                _completion_body(model, text, chat=chat), headers=headers
+            )
             return
         await request.start(200, "text/event-stream", headers)
         sent = 0
@@ -316,7 +320,7 @@
                 words = sequence.produced[sent:]
                 sent += len(words)
                 await request.write(
-                    b"".join(_event(model, w, chat=chat) for w in words)
+                    b"".join(_stream_event(model, w, chat=chat) for w in words)
                 )
             if done:
                 break
@@ -325,7 +329,7 @@
         await request.write(b"data: [DONE]\n\n", more=False)
 
 
-def _whole(model: str, text: str, *, chat: bool) -> dict[str, object]:
+def _completion_body(model: str, text: str, *, chat: bool) -> dict[str, object]:
     choice: dict[str, object] = {"index": 0, "finish_reason": "stop"}
     if chat:
         choice["message"] = {"role": "assistant", "content": text}
@@ -335,7 +339,7 @@
     return {"id": "cmpl-0", "object": kind, "model": model, "choices": [choice]}
 
 
-def _event(model: str, word: str, *, chat: bool) -> bytes:
+def _stream_event(model: str, word: str, *, chat: bool) -> bytes:
     choice: dict[str, object] = {"index": 0}
     if chat:
         choice["delta"] = {"content": f"{word} "}
--- a/packages/standins/src/standins/objects.py
+++ b/packages/standins/src/standins/objects.py
@@ -36,14 +36,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stored:
+class StoredObject:
     """One object."""
 
     value: bytes
     revision: int
 
 
-class Rate:
+class TokenBucket:
     """A bucket that holds one second of calls."""
 
     def __init__(self, per_s: float) -> None:
@@ -52,7 +52,7 @@
         self._tokens = per_s
         self._at_s = time.monotonic()
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one call, if the rate allows it."""
         now_s = time.monotonic()
         gained = (now_s - self._at_s) * self.per_s
@@ -71,20 +71,20 @@
         self, *, writes_per_s: float = 300.0, reads_per_s: float = 2000.0
     ) -> None:
         """Starts empty."""
-        self.objects: dict[str, Stored] = {}
+        self.objects: dict[str, StoredObject] = {}
         self.revision = 0
         self.faults = Faults()
         self.calls: collections.Counter[str] = collections.Counter()
         self.vms: list[dict[str, object]] = []
         self.vms_revision = 1
-        self._writes = Rate(writes_per_s)
-        self._reads = Rate(reads_per_s)
+        self._writes = TokenBucket(writes_per_s)
+        self._reads = TokenBucket(reads_per_s)
         self._changed = anyio.Event()
 
     async def handle(self, request: web.Request) -> None:
         """Answers one call."""
         if request.path.startswith("/standin/"):
-            await self._control(request)
+            await self._handle_control(request)
             return
         if self.faults.delay_ms:
             await anyio.sleep(self.faults.delay_ms / MS_PER_S)
@@ -93,7 +93,7 @@
             return
         self.calls[request.method] += 1
         rate = self._reads if request.method == "GET" else self._writes
-        if not rate.take():
+        if not rate.try_acquire():
             await request.reply({"error": "too many calls"}, status=429)
             return
         if request.path == "/vms":
@@ -107,25 +107,25 @@
         elif request.method == "DELETE":
             await self._delete(request)
 
-    async def _control(self, request: web.Request) -> None:
+    async def _handle_control(self, request: web.Request) -> None:
         if request.path == "/standin/faults":
             for name, value in request.json().items():
                 setattr(self.faults, name, value)
-            self._wake()
+            self._notify_watches()
         elif request.path == "/standin/vms":
             self.vms = list(request.json().get("vms", []))
             self.vms_revision += 1
-            self._wake()
+            self._notify_watches()
         await request.reply(
             {"calls": dict(self.calls), "objects": sorted(self.objects)}
         )
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
     async def _list_vms(self, request: web.Request) -> None:
-        await self._wait(request, lambda: self.vms_revision)
+        await self._wait_for_change(request, lambda: self.vms_revision)
         if self.faults.outage:
             await request.reply({"error": "unavailable"}, status=503)
             return
@@ -136,13 +136,15 @@
             {"vms": self.vms}, headers={"etag": str(self.vms_revision)}
         )
 
-    async def _wait(self, request: web.Request, revision: object) -> None:
+    async def _wait_for_change(
+        self, request: web.Request, get_revision: object
+    ) -> None:
         watched = request.query.get("watch")
         if watched is None:
             return
         timeout_s = float(request.query.get("timeout_ms", "0")) / MS_PER_S
         with anyio.move_on_after(timeout_s):
-            while str(revision()) == watched and not self.faults.outage:
+            while str(get_revision()) == watched and not self.faults.outage:
                 await self._changed.wait()
 
     def _revision_of(self, name: str) -> int:
@@ -151,7 +153,7 @@
 
     async def _get(self, request: web.Request) -> None:
         name = request.path.removeprefix("/objects/")
-        await self._wait(request, lambda: self._revision_of(name))
+        await self._wait_for_change(request, lambda: self._revision_of(name))
         if self.faults.outage:
             await request.reply({"error": "unavailable"}, status=503)
             return
@@ -178,8 +180,8 @@
             await request.reply({"error": "another revision"}, status=412)
             return
         self.revision += 1
-        self.objects[name] = Stored(request.body, self.revision)
-        self._wake()
+        self.objects[name] = StoredObject(request.body, self.revision)
+        self._notify_watches()
         if self.faults.lost_write_answers > 0:
             self.faults.lost_write_answers -= 1
             raise ConnectionAbortedError("the answer was lost")
@@ -192,7 +194,7 @@
             await request.reply({"error": "another revision"}, status=412)
             return
         self.objects.pop(name, None)
-        self._wake()
+        self._notify_watches()
         await request.reply({})
 
 
--- a/packages/standins/src/standins/plain.py
+++ b/packages/standins/src/standins/plain.py
@@ -9,7 +9,7 @@
 from standins import web
 
 
-class Plain:
+class PlainService:
     """The state of one plain service."""
 
     def __init__(self, *, work_ms: float = 5.0) -> None:
@@ -48,10 +48,10 @@
     port: int,
     *,
     work_ms: float = 5.0,
-    task_status: anyio.abc.TaskStatus[Plain] = anyio.TASK_STATUS_IGNORED,
+    task_status: anyio.abc.TaskStatus[PlainService] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Runs a plain service until it is cancelled."""
-    plain = Plain(work_ms=work_ms)
+    plain = PlainService(work_ms=work_ms)
     async with anyio.create_task_group() as tasks:
         await tasks.start(web.serve, web.make_app(plain.handle), host, port)
         task_status.started(plain)
--- a/packages/standins/src/standins/platform_engine.py
+++ b/packages/standins/src/standins/platform_engine.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class ReceivedRequest:
     """One request as it arrived.
 
     Attributes:
@@ -62,11 +62,11 @@
         return self.headers.get("x-attempt-id", "")
 
 
-class _Parse:
+class _RequestParser:
     """Collects one request for ``httptools``."""
 
     def __init__(self) -> None:
-        self.done: list[Seen] = []
+        self.done: list[ReceivedRequest] = []
         self._url = b""
         self._headers: dict[str, str] = {}
         self._body = b""
@@ -92,10 +92,10 @@
         """Takes the end of a request."""
         method = self.parser.get_method().decode()
         at_ms = time.monotonic_ns() // NS_PER_MS
-        seen = Seen(
+        request = ReceivedRequest(
             method, self._url.decode(), self._headers, self._body, at_ms
         )
-        self.done.append(seen)
+        self.done.append(request)
 
 
 @dataclasses.dataclass(slots=True)
@@ -145,18 +145,20 @@
         self.adapters: dict[str, int] = {}
         self.newest: dict[str, int] = {}
         self.in_transit: dict[str, int] = {}
-        self.held_before: set[str] = set()
+        self.loaded_before: set[str] = set()
         self.accepted_count = 0
         self.running: dict[str, int] = {}
         self.ran: list[str] = []
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.orders: list[dict[str, Any]] = []
         self.crashed = False
         self.ended = False
         self.leaving = False
-        self.rest_s = 0.0
+        self.backoff_s = 0.0
         self.rate_limit: str | None = None
-        self.fault: Callable[[Seen], Fault] = lambda seen: Fault.NONE
+        self.fault: Callable[[ReceivedRequest], Fault] = lambda request: (
+            Fault.NONE
+        )
         self.swallow_orders = 0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -185,7 +187,7 @@
         self.leaving = False
         self.accepted_count = 0
         self.adapters, self.in_transit = {}, {}
-        self.running, self.held_before = {}, set()
+        self.running, self.loaded_before = {}, set()
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -219,12 +221,12 @@
         task = asyncio.current_task()
         if task is not None:
             self._tasks.add(task)
-        parse = _Parse()
+        parser = _RequestParser()
         try:
             while data := await reader.read(65_536):
-                parse.parser.feed_data(data)
-                while parse.done:
-                    await self._answer(parse.done.pop(0), writer)
+                parser.parser.feed_data(data)
+                while parser.done:
+                    await self._answer(parser.done.pop(0), writer)
         except asyncio.CancelledError:
             # The stream library's own callback logs a cancelled handler.
             writer.transport.abort()
@@ -236,31 +238,33 @@
             with contextlib.suppress(ConnectionError):
                 writer.close()
 
-    async def _answer(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
-        if seen.target == "/-/report":
+    async def _answer(
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
+        if request.target == "/-/report":
             await self._reply(writer, 200, self._report())
             return
-        if seen.target == "/-/order":
-            await self._order(seen, writer)
+        if request.target == "/-/order":
+            await self._order(request, writer)
             return
-        self.seen.append(seen)
-        expected = seen.headers.get("x-target-instance", self.instance)
+        self.seen.append(request)
+        expected = request.headers.get("x-target-instance", self.instance)
         if expected != self.instance:
             headers = {"X-Instance-Id": self.instance}
-            await self._reply(writer, 421, {}, headers, seen)
+            await self._reply(writer, 421, {}, headers, request)
             return
-        if not self._holds(seen):
-            await self._reply(writer, 421, {}, None, seen)
+        if not self._holds(request):
+            await self._reply(writer, 421, {}, None, request)
             return
-        await self._run(seen, writer, self.fault(seen))
+        await self._run(request, writer, self.fault(request))
 
-    def _holds(self, seen: Seen) -> bool:
-        base, _, adapter = seen.headers.get("x-model", "").partition("/")
+    def _holds(self, request: ReceivedRequest) -> bool:
+        base, _, adapter = request.headers.get("x-model", "").partition("/")
         if base != self.model and self.model:
             return False
         if not adapter:
             return True
-        expected = seen.headers.get("x-expected-version")
+        expected = request.headers.get("x-expected-version")
         held = self.adapters.get(adapter)
         return held is not None and expected in (None, str(held))
 
@@ -280,20 +284,22 @@
             "born": self.born_ms,
         }
 
-    async def _order(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
-        order = json.loads(seen.body)
+    async def _order(
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
+        order = json.loads(request.body)
         if self.swallow_orders:
             self.swallow_orders -= 1
             return
-        if seen.headers.get("x-target-instance") != self.instance:
+        if request.headers.get("x-target-instance") != self.instance:
             await self._reply(writer, 421, {})
             return
         if order.get("expect", self.accepted_count) != self.accepted_count:
             await self._reply(writer, 409, {})
             return
-        await self._reply(writer, self.take_order(order), {})
+        await self._reply(writer, self.execute_order(order), {})
 
-    def take_order(self, order: dict[str, Any]) -> int:
+    def execute_order(self, order: dict[str, Any]) -> int:
         """Carries an order out, as one that comes late is, too."""
         if order.get("expect", self.accepted_count) != self.accepted_count:
             return 409
@@ -307,7 +313,7 @@
             self.crashed = True
         version = order.get("version") or self.newest.get(name, 1)
         self.in_transit[name] = version
-        held = name in self.held_before
+        held = name in self.loaded_before
         load_ms = self.timing.reload_ms if held else self.timing.load_ms
         asyncio.get_running_loop().call_later(
             load_ms / MS_PER_S, self._loaded, name, version, self.born_ms
@@ -319,9 +325,9 @@
             return
         self.in_transit.pop(name, None)
         self.adapters[name] = version
-        self.held_before.add(name)
+        self.loaded_before.add(name)
 
-    def _news(self) -> list[str]:
+    def _status_headers(self) -> list[str]:
         """Returns the headers of all answers that tell of this target."""
         lines = ["Server-Leaving: 1"] if self.leaving else []
         if self.rate_limit is not None:
@@ -334,50 +340,56 @@
         status: int,
         body: dict[str, Any],
         headers: dict[str, str] | None = None,
-        seen: Seen | None = None,
+        request: ReceivedRequest | None = None,
     ) -> None:
         data = json.dumps(body).encode()
         lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Other')}"]
         lines.append(f"Content-Length: {len(data)}")
-        lines.extend(self._news())
-        if seen is not None:
-            lines.append(f"X-Attempt-Id: {seen.attempt_id}")
+        lines.extend(self._status_headers())
+        if request is not None:
+            lines.append(f"X-Attempt-Id: {request.attempt_id}")
         for name, value in (headers or {}).items():
             lines.append(f"{name}: {value}")
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + data)
         await writer.drain()
 
     async def _run(
-        self, seen: Seen, writer: asyncio.StreamWriter, fault: Fault
+        self,
+        request: ReceivedRequest,
+        writer: asyncio.StreamWriter,
+        fault: Fault,
     ) -> None:
         if fault is Fault.SHED:
             headers = {"X-Not-Executed": "1"}
-            if self.rest_s:
-                headers["Retry-After"] = f"{self.rest_s:g}"
-            await self._reply(writer, 503, {}, headers, seen)
+            if self.backoff_s:
+                headers["Retry-After"] = f"{self.backoff_s:g}"
+            await self._reply(writer, 503, {}, headers, request)
             return
         if fault is Fault.RESET_UNRUN:
             raise ConnectionResetError
         if fault is Fault.HANG:
             await asyncio.Event().wait()
-        model = seen.headers.get("x-model", "")
-        self.ran.append(seen.attempt_id)
+        model = request.headers.get("x-model", "")
+        self.ran.append(request.attempt_id)
         running = self.running
         running[model] = running.get(model, 0) + 1
         try:
-            await self._finish(seen, writer, fault)
+            await self._finish(request, writer, fault)
         finally:
             running[model] -= 1
 
     async def _finish(
-        self, seen: Seen, writer: asyncio.StreamWriter, fault: Fault
+        self,
+        request: ReceivedRequest,
+        writer: asyncio.StreamWriter,
+        fault: Fault,
     ) -> None:
         signature = {"X-Server-Signature": f"s.{self.instance}"}
         if fault is Fault.ERROR:
-            await self._reply(writer, 500, {}, signature, seen)
+            await self._reply(writer, 500, {}, signature, request)
             return
         if fault is Fault.PROMISE_AFTER_RUN:
-            await self._reply(writer, 503, {}, signature, seen)
+            await self._reply(writer, 503, {}, signature, request)
             return
         if fault is Fault.RESET_AFTER_RUN:
             raise ConnectionResetError
@@ -387,39 +399,39 @@
             await self.stop()
             raise ConnectionResetError
         if self.model:
-            await self._stream(seen, writer, fault, signature)
+            await self._stream(request, writer, fault, signature)
             return
         await asyncio.sleep(self.timing.work_ms / MS_PER_S)
         headers = {} if fault is Fault.UNSIGNED else signature
-        body = {"instance": self.instance, "attempt": seen.attempt_id}
-        await self._reply(writer, 200, body, headers, seen)
+        body = {"instance": self.instance, "attempt": request.attempt_id}
+        await self._reply(writer, 200, body, headers, request)
         if fault is Fault.TWICE:
-            await self._reply(writer, 200, body, headers, seen)
+            await self._reply(writer, 200, body, headers, request)
 
     async def _stream(
         self,
-        seen: Seen,
+        request: ReceivedRequest,
         writer: asyncio.StreamWriter,
         fault: Fault,
         signature: dict[str, str],
     ) -> None:
         lines = ["HTTP/1.1 200 OK", "Content-Type: text/event-stream"]
-        lines.extend(self._news())
-        lines.append(f"X-Attempt-Id: {seen.attempt_id}")
+        lines.extend(self._status_headers())
+        lines.append(f"X-Attempt-Id: {request.attempt_id}")
         lines.extend(f"{name}: {value}" for name, value in signature.items())
         framed = fault is not Fault.UNFRAMED
         if framed:
             lines.append("Transfer-Encoding: chunked")
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n")
-        first = int(seen.headers.get("last-event-id") or 0) + 1
+        first = int(request.headers.get("last-event-id") or 0) + 1
         for number in range(first, self.event_count + 1):
             await asyncio.sleep(self.timing.event_ms / MS_PER_S)
-            event = f"id: {number}\ndata: {seen.attempt_id} {number}\n\n"
+            event = f"id: {number}\ndata: {request.attempt_id} {number}\n\n"
             if fault is Fault.CUT_MIDWAY and number == self.event_count // 2:
-                self._piece(writer, event[:5].encode(), framed=framed)
+                self._write_body(writer, event[:5].encode(), framed=framed)
                 await writer.drain()
                 raise ConnectionResetError
-            self._piece(writer, event.encode(), framed=framed)
+            self._write_body(writer, event.encode(), framed=framed)
             await writer.drain()
         if framed:
             writer.write(b"0\r\n\r\n")
@@ -427,7 +439,7 @@
         else:
             writer.close()
 
-    def _piece(
+    def _write_body(
         self, writer: asyncio.StreamWriter, data: bytes, *, framed: bool
     ) -> None:
         if framed:
--- a/packages/standins/src/standins/platform_site.py
+++ b/packages/standins/src/standins/platform_site.py
@@ -31,7 +31,7 @@
     }
 
 
-def usual_routes() -> list[dict[str, Any]]:
+def default_routes() -> list[dict[str, Any]]:
     """Returns one route of each kind."""
     return [
         route("chat", "streaming"),
@@ -67,7 +67,7 @@
     }
     body = {
         "version": version,
-        "routes": usual_routes(),
+        "routes": default_routes(),
         "services": [
             {"name": ENGINES, "maxConnections": 64, "engine": engine},
             {"name": PLAIN, "maxConnections": 64},
--- a/packages/standins/src/standins/platform_store.py
+++ b/packages/standins/src/standins/platform_store.py
@@ -11,8 +11,8 @@
 from standins import web
 
 MS_PER_S = 1_000.0
-PAGE = 50
-PREFIX = "/-/objects/"
+PAGE_SIZE = 50
+PATH_PREFIX = "/-/objects/"
 
 
 @dataclasses.dataclass(slots=True)
@@ -77,7 +77,7 @@
             "deleting": False,
         }
         kinds[name] = {"metadata": metadata, "spec": spec, "status": None}
-        self._note(kind, {"object": kinds[name], "deleted": False})
+        self._record_event(kind, {"object": kinds[name], "deleted": False})
 
     def delete(self, kind: str, name: str) -> None:
         """Removes an object if it exists."""
@@ -85,25 +85,25 @@
         if gone is None:
             return
         self.revision += 1
-        self._note(kind, {"object": gone, "deleted": True})
+        self._record_event(kind, {"object": gone, "deleted": True})
 
-    def _note(self, kind: str, event: dict[str, Any]) -> None:
+    def _record_event(self, kind: str, event: dict[str, Any]) -> None:
         self.history.append((self.revision, kind, event))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
     def cut_watches(self) -> None:
         """Breaks off the calls that wait for a change, and no others."""
         self._cut_count += 1
-        self._wake()
+        self._notify_watches()
 
     def release(self) -> None:
         """Answers the calls that were held."""
         self.faults.holds = False
-        self._wake()
+        self._notify_watches()
 
     def compact(self) -> None:
         """Drops the history."""
@@ -127,7 +127,7 @@
         ]
         self.oldest = min(self.oldest, snapshot.revision)
         self.era += 1
-        self._wake()
+        self._notify_watches()
 
     async def handle(self, request: web.Request) -> None:
         """Answers one call, with the era in a header."""
@@ -141,7 +141,7 @@
         await self._handle(dataclasses.replace(request, send=send))
 
     async def _handle(self, request: web.Request) -> None:
-        kind, _, name = request.path.removeprefix(PREFIX).partition("/")
+        kind, _, name = request.path.removeprefix(PATH_PREFIX).partition("/")
         self.calls[kind] += 1
         if self.faults.silent:
             await anyio.sleep_forever()
@@ -159,7 +159,7 @@
             return
         names = sorted(self.objects.get(kind, {}))
         after = request.query.get("after", "")
-        page = [name for name in names if name > after][:PAGE]
+        page = [name for name in names if name > after][:PAGE_SIZE]
         items = [self.objects[kind][name] for name in page]
         more = bool(page) and page[-1] != names[-1]
         body = {"items": items, "hasMore": more, "at": self.revision}
@@ -204,15 +204,15 @@
                 return
             events = [
                 event
-                for revision, of_kind, event in self.history
-                if revision > since and of_kind == kind
+                for revision, event_kind, event in self.history
+                if revision > since and event_kind == kind
             ]
-            left_s = until_s - time.monotonic()
+            remaining_s = until_s - time.monotonic()
             if self.faults.holds:
                 await self._changed.wait()
                 continue
-            if events or left_s <= 0:
+            if events or remaining_s <= 0:
                 await request.reply({"events": events, "at": self.revision})
                 return
-            with anyio.move_on_after(left_s):
+            with anyio.move_on_after(remaining_s):
                 await self._changed.wait()
--- a/packages/standins/src/standins/web.py
+++ b/packages/standins/src/standins/web.py
@@ -82,7 +82,7 @@
         )
         await self.write(data, more=False)
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Returns once the caller has left."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
--- a/packages/standins/src/standins/weights.py
+++ b/packages/standins/src/standins/weights.py
@@ -10,7 +10,7 @@
 MS_PER_S = 1000.0
 
 
-class Weights:
+class WeightStore:
     """The state of one weight store."""
 
     def __init__(
@@ -61,10 +61,10 @@
     rate_per_s: float = 4.0,
     at_full_speed: int = 3,
     transfer_ms: float = 100.0,
-    task_status: anyio.abc.TaskStatus[Weights] = anyio.TASK_STATUS_IGNORED,
+    task_status: anyio.abc.TaskStatus[WeightStore] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Runs a weight store until it is cancelled."""
-    weights = Weights(
+    weights = WeightStore(
         rate_per_s=rate_per_s,
         at_full_speed=at_full_speed,
         transfer_ms=transfer_ms,
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -15,10 +15,10 @@
 from soak import world
 
 MS_PER_S = 1_000
-MOST_SHOWN = 5
+MAX_VIOLATIONS_SHOWN = 5
 
 
-def play(
+def run_seed(
     seed: int,
     seconds: float,
     size: schedule.Size,
@@ -79,18 +79,18 @@
     numbers = range(first_seed, first_seed + seeds)
     rows, broken = [], 0
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        plays = {
-            seed: pool.submit(play, seed, seconds, size, keep, chosen)
+        runs = {
+            seed: pool.submit(run_seed, seed, seconds, size, keep, chosen)
             for seed in numbers
         }
-        with click.progressbar(plays.items(), label="seeds") as shown:
+        with click.progressbar(runs.items(), label="seeds") as shown:
             for seed, one in shown:
                 history = one.result()
-                found = judge.judge(history)
-                broken += bool(found)
+                violations = judge.judge(history)
+                broken += bool(violations)
                 counts = world.outcome_counts(history)
-                rows.append([seed, *counts.values(), len(found)])
-                for violation in found[:MOST_SHOWN]:
+                rows.append([seed, *counts.values(), len(violations)])
+                for violation in violations[:MAX_VIOLATIONS_SHOWN]:
                     click.echo(f"\nseed {seed}: {violation}")
     headings = ["seed", "asked", "served", "left", "events", "broken"]
     click.echo(report.table(headings, rows))
@@ -102,11 +102,11 @@
 @click.argument("path", type=click.Path(path_type=pathlib.Path, exists=True))
 def replay(path: pathlib.Path) -> None:
     """Judges a kept history again."""
-    found = judge.judge(history_lib.load(path))
-    for violation in found:
+    violations = judge.judge(history_lib.load(path))
+    for violation in violations:
         click.echo(str(violation))
-    click.echo(f"{len(found)} broken promises")
-    sys.exit(1 if found else 0)
+    click.echo(f"{len(violations)} broken promises")
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/soak/accounts.py
+++ b/soak/accounts.py
@@ -18,17 +18,17 @@
 CAPPED = "lab"
 # Only the key of this account changes.
 ROTATING = "guests"
-NOBODY = ""
+NO_ACCOUNT = ""
 KEYS = {STEADY: "steady-key", CAPPED: "capped-key"}
 FORGED = "forged-key"
-WINDOW_MS = 4_000
-RULES = usage_books.Rules(WINDOW_MS, 0.1, 10.0)
+USAGE_WINDOW_MS = 4_000
+RULES = usage_books.Rules(USAGE_WINDOW_MS, 0.1, 10.0)
 CAP = usage_cap.UsageCap(15.0, 30.0)
 # Shares of callers' requests by account; the rest of them have no key.
 SHARES = ((STEADY, 0.7), (ROTATING, 0.15), (CAPPED, 0.08), (FORGED, 0.04))
-RUSH_PAUSE_S = 0.02
-LEFT_MS = 3_000
-CONNECT_MS = 1_000
+BURST_INTERVAL_S = 0.02
+REQUEST_TIMEOUT_MS = 3_000
+CONNECT_TIMEOUT_MS = 1_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
         self._rotating = f"guest-{secrets.token_hex(4)}"
         self._history.keys_added_ms[self._rotating] = now_ms
 
-    def written(self) -> list[dict[str, Any]]:
+    def to_configuration(self) -> list[dict[str, Any]]:
         """Returns the accounts for the configuration."""
         return [
             platform_site.account(STEADY, KEYS[STEADY]),
@@ -92,17 +92,17 @@
             if drawn >= 0:
                 continue
             if account == FORGED:
-                return Credential(NOBODY, FORGED)
+                return Credential(NO_ACCOUNT, FORGED)
             if account != ROTATING:
                 return Credential(account, KEYS[account])
             # Now and then a key that was taken away lately.
             removed = list(self._history.keys_removed_ms)[-2:]
             choices = [self._rotating] * 3 + removed
             return Credential(ROTATING, self._random.choice(choices))
-        return Credential(NOBODY, "")
+        return Credential(NO_ACCOUNT, "")
 
 
-async def rush(
+async def send_burst(
     history: history_lib.History,
     choose: Callable[[], tuple[int, str] | None],
     for_s: float,
@@ -113,7 +113,7 @@
     calls = []
     while history_lib.now_ms() < until_ms:
         calls.append(asyncio.create_task(_call(history, choose, credential)))
-        await asyncio.sleep(RUSH_PAUSE_S)
+        await asyncio.sleep(BURST_INTERVAL_S)
     await asyncio.gather(*calls)
 
 
@@ -126,7 +126,7 @@
     if chosen is None:
         return
     number, address = chosen
-    connection = await http_client.open_connection(address, CONNECT_MS)
+    connection = await http_client.open_connection(address, CONNECT_TIMEOUT_MS)
     if isinstance(connection, http_client.Lost):
         return
     attempt_id = secrets.token_hex(8)
@@ -136,13 +136,13 @@
             "POST",
             "/look/x",
             attempt_id,
-            left_ms=LEFT_MS,
+            left_ms=REQUEST_TIMEOUT_MS,
             further=credential.headers(),
         )
     )
     status, whole, body = 0, False, b""
     try:
-        async with asyncio.timeout(2 * LEFT_MS / 1_000):
+        async with asyncio.timeout(2 * REQUEST_TIMEOUT_MS / 1_000):
             answer = await http_client.read_answer(connection)
             if not isinstance(answer, http_client.Lost):
                 status, whole, body = answer.head.status, True, answer.body
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -11,20 +11,20 @@
 from soak import accounts
 from soak import history as history_lib
 
-LEFT_MS = 3_000
+REQUEST_TIMEOUT_MS = 3_000
 # How much longer than it said a caller waits for the end of an answer.
-GRACE_MS = 1_000
-CONNECT_MS = 1_000
-PAUSE_S = (0.02, 0.12)
+ANSWER_GRACE_MS = 1_000
+CONNECT_TIMEOUT_MS = 1_000
+CALL_INTERVAL_S = (0.02, 0.12)
 # Part of the requests whose caller leaves early, and after how long.
-LEAVE_PART = 0.05
-LEAVE_S = (0.005, 0.4)
+DISCONNECT_FRACTION = 0.05
+DISCONNECT_AFTER_S = (0.005, 0.4)
 # Part of the requests on routes that were added by then.
-ADDED_PART = 0.15
-ADAPTERS = 10
+ADDED_ROUTE_FRACTION = 0.15
+ADAPTER_COUNT = 10
 MS_PER_S = 1_000
 ROUTES = ("chat", "long", "book", "look")
-OF_ENGINES = frozenset({"chat", "long"})
+ENGINE_ROUTES = frozenset({"chat", "long"})
 
 
 class Caller:
@@ -59,7 +59,7 @@
     async def run(self) -> None:
         """Calls until cancelled."""
         while True:
-            await asyncio.sleep(self._random.uniform(*PAUSE_S))
+            await asyncio.sleep(self._random.uniform(*CALL_INTERVAL_S))
             if await self._connected():
                 await self._call()
 
@@ -70,7 +70,7 @@
         if chosen is None:
             return False
         self._gateway, address = chosen
-        opened = await http_client.open_connection(address, CONNECT_MS)
+        opened = await http_client.open_connection(address, CONNECT_TIMEOUT_MS)
         if isinstance(opened, http_client.Lost):
             return False
         self._connection = opened
@@ -78,7 +78,7 @@
 
     def _route(self) -> str:
         added = self._added_routes()
-        if added and self._random.random() < ADDED_PART:
+        if added and self._random.random() < ADDED_ROUTE_FRACTION:
             return self._random.choice(added)
         return self._random.choice(ROUTES)
 
@@ -87,9 +87,9 @@
         route = self._route()
         attempt_id = secrets.token_hex(8)
         adapter = ""
-        if route in OF_ENGINES:
+        if route in ENGINE_ROUTES:
             # Popularity is skewed: a few adapters get most requests.
-            adapter = f"a{int(ADAPTERS * self._random.random() ** 2)}"
+            adapter = f"a{int(ADAPTER_COUNT * self._random.random() ** 2)}"
         credential = self._draw_credential()
         sent_at_ms = history_lib.now_ms()
         connection.send(
@@ -98,14 +98,14 @@
                 f"/{route}/x",
                 attempt_id,
                 adapter=adapter,
-                left_ms=LEFT_MS,
+                left_ms=REQUEST_TIMEOUT_MS,
                 further=credential.headers(),
             )
         )
-        leaves = self._random.random() < LEAVE_PART
-        wait_s = (LEFT_MS + GRACE_MS) / MS_PER_S
+        leaves = self._random.random() < DISCONNECT_FRACTION
+        wait_s = (REQUEST_TIMEOUT_MS + ANSWER_GRACE_MS) / MS_PER_S
         if leaves:
-            wait_s = self._random.uniform(*LEAVE_S)
+            wait_s = self._random.uniform(*DISCONNECT_AFTER_S)
         pieces: list[bytes] = []
         whole, ended, head = False, False, None
         try:
@@ -144,7 +144,7 @@
         now_ms = history_lib.now_ms()
         if head.get(b"server-leaving"):
             self._history.leavers.append(
-                history_lib.Leaver(self._gateway, target, now_ms)
+                history_lib.DrainingResponse(self._gateway, target, now_ms)
             )
         if head.get(b"server-limit"):
             self._history.limited_responses.append(
--- a/soak/history.py
+++ b/soak/history.py
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leaver:
+class DrainingResponse:
     """A gateway passed on a target's word that it leaves.
 
     Attributes:
@@ -118,7 +118,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rest:
+class BackoffResponse:
     """A target turned an attempt away and asked for rest.
 
     Attributes:
@@ -203,8 +203,8 @@
     poison_attempts: dict[str, PoisonAttempt] = dataclasses.field(
         default_factory=dict
     )
-    leavers: list[Leaver] = dataclasses.field(default_factory=list)
-    rests: list[Rest] = dataclasses.field(default_factory=list)
+    leavers: list[DrainingResponse] = dataclasses.field(default_factory=list)
+    rests: list[BackoffResponse] = dataclasses.field(default_factory=list)
     rate_limits: list[RateLimit] = dataclasses.field(default_factory=list)
     limited_responses: list[LimitedResponse] = dataclasses.field(
         default_factory=list
@@ -227,8 +227,8 @@
     raw["poison_attempts"] = {
         key: PoisonAttempt(**one) for key, one in attempts.items()
     }
-    raw["leavers"] = [Leaver(**one) for one in raw.get("leavers", ())]
-    raw["rests"] = [Rest(**one) for one in raw.get("rests", ())]
+    raw["leavers"] = [DrainingResponse(**one) for one in raw.get("leavers", ())]
+    raw["rests"] = [BackoffResponse(**one) for one in raw.get("rests", ())]
     raw["rate_limits"] = [
         RateLimit(**one) for one in raw.get("rate_limits", ())
     ]
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -14,28 +14,28 @@
 from soak import callers
 from soak import history as history_lib
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 REPEATABLE = frozenset({"long", "look"})
-EVENTS = 4
+EVENT_COUNT = 4
 # A gateway is in touch when nothing was done to it, its links or the store for
 # so long: the users' pages excuse it until then.
-STABLE_MS = 3_000
-LEAVING_MS = 2_000
+UNDISTURBED_MS = 3_000
+DRAINING_SETTLING_MS = 2_000
 # How soon after a caller left no request of it may reach a target.
-GONE_MS = 500
-RECOVER_MS = 12_000
-SERVED_PART = 0.9
+DISCONNECT_SETTLING_MS = 500
+RECOVERY_MS = 12_000
+MIN_SERVED_FRACTION = 0.9
 RETRY_RATIO = 0.2
 RETRY_WINDOW_MS = 10_000
-MEMORY_MIB = 232.0
+MAX_MEMORY_MIB = 232.0
 # Targets that a request may end, and how often it may reach one afterwards.
-MOST_ENDED = 3
-MOST_REPEATS = 3
+MAX_CRASHES = 3
+MAX_REPEATS = 3
 # Requests that may still reach a target in its rest, once its word has come.
-MOST_IN_A_REST = 2
-REST_SLACK_MS = 500
+MAX_DURING_BACKOFF = 2
+BACKOFF_SLACK_MS = 500
 # What a gateway calls the refusal of a request that ends targets.
-ENDS_TARGETS = "request_ends_targets"
+QUARANTINE_CODE = "request_ends_targets"
 MS_PER_S = 1_000
 # Once a rate limit has been advertised for the settling time, its target may
 # receive the limit times the factor, plus the tolerance, in any window. A
@@ -89,13 +89,13 @@
         attempt = self.attempts.get(attempt_id)
         return attempt.gateway if attempt is not None else None
 
-    def is_in_touch(self, gateway: int, from_ms: int, to_ms: int) -> bool:
+    def is_undisturbed(self, gateway: int, from_ms: int, to_ms: int) -> bool:
         """Whether nothing was done to a gateway or the store around a time."""
         victims = {f"gateway-{gateway}", "store", "all"}
         return not any(
             event.victim in victims
             and event.at_ms <= to_ms
-            and event.until_ms >= from_ms - STABLE_MS
+            and event.until_ms >= from_ms - UNDISTURBED_MS
             for event in self.history.events
         )
 
@@ -109,7 +109,10 @@
 
 def _not_run_is_true(evidence: Evidence) -> Iterator[Violation]:
     for attempt in evidence.history.attempts:
-        if attempt.status not in PROMISES or attempt.route in REPEATABLE:
+        if (
+            attempt.status not in NOT_RUN_STATUSES
+            or attempt.route in REPEATABLE
+        ):
             continue
         if evidence.runs(attempt.attempt_id):
             yield Violation(
@@ -119,19 +122,19 @@
             )
 
 
-def _expected(attempt: history_lib.Attempt) -> str:
+def _expected_stream(attempt: history_lib.Attempt) -> str:
     return "".join(
         f"id: {number}\ndata: {attempt.attempt_id} {number}\n\n"
-        for number in range(1, EVENTS + 1)
+        for number in range(1, EVENT_COUNT + 1)
     )
 
 
-def _whole_and_own(evidence: Evidence) -> Iterator[Violation]:
+def _complete_and_own(evidence: Evidence) -> Iterator[Violation]:
     for attempt in evidence.history.attempts:
         if attempt.status != SUCCESS:
             continue
-        if attempt.route in callers.OF_ENGINES:
-            expected = _expected(attempt)
+        if attempt.route in callers.ENGINE_ROUTES:
+            expected = _expected_stream(attempt)
             good = attempt.body == expected
             if not attempt.whole:
                 good = expected.startswith(attempt.body)
@@ -146,17 +149,19 @@
             )
 
 
-def _leaving(evidence: Evidence) -> Iterator[Violation]:
+def _draining_by_listing(evidence: Evidence) -> Iterator[Violation]:
     leaving = evidence.history.leaving
     for arrival in evidence.history.arrivals:
-        left_at_ms = leaving.get(arrival.target)
-        if left_at_ms is None or not arrival.ran:
+        draining_since_ms = leaving.get(arrival.target)
+        if draining_since_ms is None or not arrival.ran:
             continue
-        late_ms = arrival.at_ms - left_at_ms - LEAVING_MS
+        late_ms = arrival.at_ms - draining_since_ms - DRAINING_SETTLING_MS
         attempt = evidence.attempts.get(arrival.attempt_id)
         if late_ms <= 0 or attempt is None:
             continue
-        if evidence.is_in_touch(attempt.gateway, left_at_ms, arrival.at_ms):
+        if evidence.is_undisturbed(
+            attempt.gateway, draining_since_ms, arrival.at_ms
+        ):
             yield Violation(
                 "a leaving target gets no work",
                 arrival.attempt_id,
@@ -164,13 +169,15 @@
             )
 
 
-def _gone(evidence: Evidence) -> Iterator[Violation]:
+def _nothing_after_disconnect(evidence: Evidence) -> Iterator[Violation]:
     for attempt in evidence.history.attempts:
         if not attempt.left:
             continue
         for arrival in evidence.arrivals.get(attempt.attempt_id, ()):
-            late_ms = arrival.at_ms - attempt.ended_at_ms - GONE_MS
-            if late_ms > 0 and evidence.is_in_touch(
+            late_ms = (
+                arrival.at_ms - attempt.ended_at_ms - DISCONNECT_SETTLING_MS
+            )
+            if late_ms > 0 and evidence.is_undisturbed(
                 attempt.gateway, attempt.sent_at_ms, arrival.at_ms
             ):
                 yield Violation(
@@ -180,7 +187,7 @@
                 )
 
 
-def _engines(evidence: Evidence) -> Iterator[Violation]:
+def _adapter_orders(evidence: Evidence) -> Iterator[Violation]:
     for target in evidence.history.overfilled:
         yield Violation("no engine is overfilled", target, "crashed")
     for target, names in evidence.history.holders.items():
@@ -193,13 +200,13 @@
     for attempt_id, arrivals in evidence.arrivals.items():
         attempt = evidence.attempts.get(attempt_id)
         if attempt is not None:
-            of_engines = attempt.route in callers.OF_ENGINES
+            of_engines = attempt.route in callers.ENGINE_ROUTES
             extras[of_engines] += [one.at_ms for one in arrivals[1:]]
     for of_engines, times_ms in extras.items():
         sent_ms = [
             one.sent_at_ms
             for one in evidence.history.attempts
-            if (one.route in callers.OF_ENGINES) is of_engines
+            if (one.route in callers.ENGINE_ROUTES) is of_engines
         ]
         for end_ms in times_ms:
             since_ms = end_ms - RETRY_WINDOW_MS
@@ -217,7 +224,7 @@
 
 def _configuration(evidence: Evidence) -> Iterator[Violation]:
     for attempt in evidence.history.attempts:
-        if attempt.status == NOT_FOUND and evidence.is_in_touch(
+        if attempt.status == NOT_FOUND and evidence.is_undisturbed(
             attempt.gateway, attempt.sent_at_ms, attempt.ended_at_ms
         ):
             yield Violation(
@@ -227,7 +234,7 @@
             )
 
 
-def _is_owed(evidence: Evidence, attempt: history_lib.Attempt) -> bool:
+def _must_be_served(evidence: Evidence, attempt: history_lib.Attempt) -> bool:
     """Whether it was to be served, as far as its account tells."""
     if not evidence.history.keys_added_ms:
         return True
@@ -235,7 +242,7 @@
 
 
 def _recovery(evidence: Evidence) -> Iterator[Violation]:
-    from_ms = evidence.history.quiet_from_ms + RECOVER_MS
+    from_ms = evidence.history.quiet_from_ms + RECOVERY_MS
     stops_at_ms = [
         event.at_ms
         for event in evidence.history.events
@@ -246,11 +253,11 @@
         for one in evidence.history.attempts
         if from_ms <= one.sent_at_ms < min(stops_at_ms, default=0)
         and not one.left
-        and _is_owed(evidence, one)
+        and _must_be_served(evidence, one)
         and one.ended_at_ms < min(stops_at_ms, default=0)
     ]
     served = sum(one.status == SUCCESS and one.whole for one in asked)
-    if not asked or served < SERVED_PART * len(asked):
+    if not asked or served < MIN_SERVED_FRACTION * len(asked):
         yield Violation(
             "served again after all faults",
             "site",
@@ -281,30 +288,30 @@
 
 def _memory(evidence: Evidence) -> Iterator[Violation]:
     for name, used_mib in evidence.history.memory_mib.items():
-        if used_mib > MEMORY_MIB:
+        if used_mib > MAX_MEMORY_MIB:
             yield Violation("memory is bounded", name, f"{used_mib:.0f} MiB")
 
 
-def _poison(evidence: Evidence) -> Iterator[Violation]:
+def _quarantine(evidence: Evidence) -> Iterator[Violation]:
     """A request that ended three targets reaches three more at most."""
     history = evidence.history
     runs_ms: dict[str, list[int]] = collections.defaultdict(list)
-    late: collections.Counter[str] = collections.Counter()
+    late_runs: collections.Counter[str] = collections.Counter()
     for arrival in sorted(history.arrivals, key=lambda one: one.at_ms):
         attempt = history.poison_attempts.get(arrival.attempt_id)
         if attempt is None or not arrival.ran:
             continue
         known_ms = runs_ms[attempt.path]
-        if len(known_ms) >= MOST_ENDED:
-            since_ms = known_ms[MOST_ENDED - 1] + STABLE_MS
-            late[attempt.path] += attempt.sent_at_ms > since_ms and (
-                evidence.is_in_touch(
+        if len(known_ms) >= MAX_CRASHES:
+            since_ms = known_ms[MAX_CRASHES - 1] + UNDISTURBED_MS
+            late_runs[attempt.path] += attempt.sent_at_ms > since_ms and (
+                evidence.is_undisturbed(
                     attempt.gateway, attempt.sent_at_ms, arrival.at_ms
                 )
             )
         known_ms.append(arrival.at_ms)
-    for path, count in late.items():
-        if count > MOST_REPEATS:
+    for path, count in late_runs.items():
+        if count > MAX_REPEATS:
             yield Violation(
                 "what ends targets is refused",
                 path,
@@ -312,15 +319,15 @@
             )
 
 
-def _innocent(evidence: Evidence) -> Iterator[Violation]:
+def _no_false_quarantine(evidence: Evidence) -> Iterator[Violation]:
     for attempt in evidence.history.attempts:
-        if ENDS_TARGETS in attempt.body:
+        if QUARANTINE_CODE in attempt.body:
             yield Violation(
                 "nobody else is refused", attempt.attempt_id, attempt.route
             )
 
 
-def _was_touched(
+def _was_disturbed(
     evidence: Evidence, gateway: int, from_ms: int, to_ms: int
 ) -> bool:
     """Whether a gateway was restarted or stood still in between."""
@@ -333,18 +340,25 @@
     )
 
 
-def _leaving_by_word(evidence: Evidence) -> Iterator[Violation]:
-    told_ms: dict[tuple[int, str], int] = {}
-    for word in evidence.history.leavers:
-        told_ms.setdefault((word.gateway, word.target), word.at_ms)
+def _draining_by_header(evidence: Evidence) -> Iterator[Violation]:
+    draining_since_ms: dict[tuple[int, str], int] = {}
+    for response in evidence.history.leavers:
+        draining_since_ms.setdefault(
+            (response.gateway, response.target), response.at_ms
+        )
     for arrival in evidence.history.arrivals:
         attempt = evidence.attempts.get(arrival.attempt_id)
         if attempt is None or not arrival.ran:
             continue
-        since_ms = told_ms.get((attempt.gateway, arrival.target))
-        if since_ms is None or attempt.sent_at_ms <= since_ms + LEAVING_MS:
+        since_ms = draining_since_ms.get((attempt.gateway, arrival.target))
+        if (
+            since_ms is None
+            or attempt.sent_at_ms <= since_ms + DRAINING_SETTLING_MS
+        ):
             continue
-        if not _was_touched(evidence, attempt.gateway, since_ms, arrival.at_ms):
+        if not _was_disturbed(
+            evidence, attempt.gateway, since_ms, arrival.at_ms
+        ):
             yield Violation(
                 "a target's word that it leaves counts",
                 arrival.attempt_id,
@@ -352,17 +366,17 @@
             )
 
 
-def _rests(evidence: Evidence) -> Iterator[Violation]:
+def _backoffs(evidence: Evidence) -> Iterator[Violation]:
     until: dict[tuple[int, str], list[tuple[int, int]]] = {}
     for rest in evidence.history.rests:
         attempt = evidence.attempts.get(rest.attempt_id)
         if attempt is None:
             continue
         spans = until.setdefault((attempt.gateway, rest.target), [])
-        spans.append((rest.at_ms + REST_SLACK_MS, rest.at_ms + rest.rest_ms))
+        spans.append((rest.at_ms + BACKOFF_SLACK_MS, rest.at_ms + rest.rest_ms))
     for (gateway, target), spans in until.items():
         for from_ms, to_ms in spans:
-            if _was_touched(evidence, gateway, from_ms, to_ms):
+            if _was_disturbed(evidence, gateway, from_ms, to_ms):
                 continue
             count = sum(
                 from_ms < arrival.at_ms < to_ms
@@ -370,7 +384,7 @@
                 and evidence.gateway_of(arrival.attempt_id) == gateway
                 for arrival in evidence.history.arrivals
             )
-            if count > MOST_IN_A_REST:
+            if count > MAX_DURING_BACKOFF:
                 yield Violation(
                     "a target that asks for rest gets it",
                     target,
@@ -400,7 +414,7 @@
     for attempt in history.attempts:
         added_ms = history.keys_added_ms.get(attempt.key, 0)
         removed_ms = history.keys_removed_ms.get(attempt.key)
-        in_touch = evidence.is_in_touch(
+        undisturbed = evidence.is_undisturbed(
             attempt.gateway, attempt.sent_at_ms, attempt.ended_at_ms
         )
         if not attempt.account:
@@ -409,13 +423,13 @@
             is_served = (
                 removed_ms is not None
                 and attempt.sent_at_ms > removed_ms + CONFIGURATION_MS
-                and in_touch
+                and undisturbed
                 and evidence.runs(attempt.attempt_id)
             )
             is_known = attempt.sent_at_ms > added_ms + CONFIGURATION_MS and (
                 removed_ms is None or attempt.ended_at_ms < removed_ms
             )
-            if attempt.status == UNAUTHORIZED and is_known and in_touch:
+            if attempt.status == UNAUTHORIZED and is_known and undisturbed:
                 yield Violation(
                     "a known key is let in", attempt.attempt_id, attempt.account
                 )
@@ -463,7 +477,7 @@
         since_ms = first_response_ms.get(gateway, limit.until_ms)
         if arrival.at_ms < since_ms + RATE_LIMIT_GRACE_MS:
             continue
-        if not _was_touched(evidence, gateway, since_ms, arrival.at_ms):
+        if not _was_disturbed(evidence, gateway, since_ms, arrival.at_ms):
             yield arrival.at_ms
 
 
@@ -490,19 +504,19 @@
 CHECKS: tuple[Callable[[Evidence], Iterator[Violation]], ...] = (
     _at_most_once,
     _not_run_is_true,
-    _whole_and_own,
-    _leaving,
-    _gone,
-    _engines,
+    _complete_and_own,
+    _draining_by_listing,
+    _nothing_after_disconnect,
+    _adapter_orders,
     _repeats,
     _configuration,
     _recovery,
     _graceful_stop,
     _memory,
-    _poison,
-    _innocent,
-    _leaving_by_word,
-    _rests,
+    _quarantine,
+    _no_false_quarantine,
+    _draining_by_header,
+    _backoffs,
     _named_accounts,
     _keys,
     _usage_cap,
--- a/soak/poison.py
+++ b/soak/poison.py
@@ -17,10 +17,10 @@
 ROUTES = ("chat", "book")
 ADAPTER = "a0"
 # It comes again some time after it was answered, sometimes twice at once.
-PAUSE_S = (0.1, 1.2)
-TWICE_PART = 0.3
-LEFT_MS = 3_000
-GRACE_MS = 1_000
+CALL_INTERVAL_S = (0.1, 1.2)
+CONCURRENT_FRACTION = 0.3
+REQUEST_TIMEOUT_MS = 3_000
+ANSWER_GRACE_MS = 1_000
 MS_PER_S = 1_000
 
 
@@ -53,11 +53,11 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(for_s):
                 while True:
-                    both = self._random.random() < TWICE_PART
+                    both = self._random.random() < CONCURRENT_FRACTION
                     await asyncio.gather(
                         *(self._call() for _ in range(1 + both))
                     )
-                    await asyncio.sleep(self._random.uniform(*PAUSE_S))
+                    await asyncio.sleep(self._random.uniform(*CALL_INTERVAL_S))
 
     async def _call(self) -> None:
         chosen = self._choose()
@@ -65,7 +65,7 @@
             return
         number, address = chosen
         connection = await http_client.open_connection(
-            address, callers.CONNECT_MS
+            address, callers.CONNECT_TIMEOUT_MS
         )
         if isinstance(connection, http_client.Lost):
             return
@@ -82,13 +82,15 @@
                 "POST",
                 self._path,
                 attempt_id,
-                adapter=ADAPTER if self._route in callers.OF_ENGINES else "",
+                adapter=ADAPTER if self._route in callers.ENGINE_ROUTES else "",
                 body=BODY,
-                left_ms=LEFT_MS,
+                left_ms=REQUEST_TIMEOUT_MS,
                 further=credential.headers(),
             )
         )
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout((LEFT_MS + GRACE_MS) / MS_PER_S):
+            async with asyncio.timeout(
+                (REQUEST_TIMEOUT_MS + ANSWER_GRACE_MS) / MS_PER_S
+            ):
                 await http_client.read_answer(connection)
         connection.close()
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -38,11 +38,11 @@
             return
         self._is_starting = True
         try:
-            await self._create()
+            await self._spawn()
         finally:
             self._is_starting = False
 
-    async def _create(self) -> None:
+    async def _spawn(self) -> None:
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -66,7 +66,7 @@
         if self._process is not None:
             await self._process.wait()
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Ends it for good, also while it is paused."""
         self.signal(signal.SIGKILL)
         await self.wait()
--- a/soak/relay.py
+++ b/soak/relay.py
@@ -25,14 +25,14 @@
 class Relay:
     """Passes connections on from one address to another."""
 
-    def __init__(self, to: tuple[str, int]) -> None:
+    def __init__(self, upstream: tuple[str, int]) -> None:
         """Listens nowhere yet.
 
         Args:
-            to: Where connections lead.
+            upstream: Address that connections are forwarded to.
         """
         self.link = Link()
-        self._to = to
+        self._upstream = upstream
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -63,18 +63,20 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._to)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                *self._upstream
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        links = ((reader, far_writer), (far_reader, writer))
+        self._writers |= {writer, upstream_writer}
+        links = ((reader, upstream_writer), (upstream_reader, writer))
         for source, sink in links:
-            task = asyncio.create_task(self._pass(source, sink))
+            task = asyncio.create_task(self._copy(source, sink))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass(
+    async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -39,11 +39,13 @@
 
 
 # Where a kind strikes; the others have the store or the whole site.
-OF_GATEWAYS = frozenset(
+GATEWAY_KINDS = frozenset(
     {Kind.GATEWAY_KILL, Kind.GATEWAY_TERM, Kind.GATEWAY_PAUSE, Kind.RELOAD}
 )
-OF_SIDES = frozenset({Kind.SIDE_KILL, Kind.SIDE_PAUSE, Kind.ORDERS_SWALLOWED})
-OF_TARGETS = frozenset(
+SIDECAR_KINDS = frozenset(
+    {Kind.SIDE_KILL, Kind.SIDE_PAUSE, Kind.ORDERS_SWALLOWED}
+)
+TARGET_KINDS = frozenset(
     {
         Kind.TARGET_RESTART,
         Kind.TARGET_LEAVE,
@@ -57,7 +59,7 @@
     }
 )
 # Whom the others strike, where that is not the store.
-OF_THE_SITE = {
+SITE_VICTIMS = {
     Kind.ALL_KILL: "all",
     Kind.POISON: "callers",
     Kind.RUSH: "callers",
@@ -66,10 +68,10 @@
 }
 # Pause between two faults at the beginning of a series, and within one: faults
 # overlap, and the next one comes while the last is still being dealt with.
-SERIES_PAUSE_MS = (500, 3_000)
-WITHIN_PAUSE_MS = (50, 700)
-MOST_IN_A_SERIES = 4
-FAULT_MS = (200, 3_500)
+SERIES_INTERVAL_MS = (500, 3_000)
+FAULT_INTERVAL_MS = (50, 700)
+MAX_SERIES_LENGTH = 4
+FAULT_DURATION_MS = (200, 3_500)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -114,18 +116,18 @@
     """
     source = random.Random(seed)
     faults: list[Fault] = []
-    at_ms = source.randint(*SERIES_PAUSE_MS)
+    at_ms = source.randint(*SERIES_INTERVAL_MS)
     while at_ms < length_ms:
-        for _ in range(source.randint(1, MOST_IN_A_SERIES)):
+        for _ in range(source.randint(1, MAX_SERIES_LENGTH)):
             kind = source.choice(kinds)
             count = size.gateways
-            if kind in OF_SIDES:
+            if kind in SIDECAR_KINDS:
                 count = size.engines
-            elif kind in OF_TARGETS:
+            elif kind in TARGET_KINDS:
                 count = size.engines + size.plain
             victim = source.randrange(count)
-            for_ms = source.randint(*FAULT_MS)
+            for_ms = source.randint(*FAULT_DURATION_MS)
             faults.append(Fault(at_ms, kind, victim, for_ms))
-            at_ms += source.randint(*WITHIN_PAUSE_MS)
-        at_ms += source.randint(*SERIES_PAUSE_MS)
+            at_ms += source.randint(*FAULT_INTERVAL_MS)
+        at_ms += source.randint(*SERIES_INTERVAL_MS)
     return [fault for fault in faults if fault.at_ms < length_ms]
--- a/soak/world.py
+++ b/soak/world.py
@@ -24,15 +24,15 @@
 from soak import relay
 from soak import schedule
 
-FRONT_PORT = 8_140
+GATEWAY_PORT = 8_140
 READY_PORT = 8_141
 PEERS_PORT = 8_142
-FLEET_PORT = 8_143
+CONTROL_PORT = 8_143
 ADMIN_PORT = 8_144
 STORE_PORT = 8_145
 TARGET_PORT = 8_146
 LINK_PORT = 8_147
-CALLERS = 10
+CALLER_COUNT = 10
 RETRY_EXTRA = 20
 MS_PER_S = 1_000
 # From the start of the programs to the first request, for the slowest machine.
@@ -49,31 +49,31 @@
 MIN_RATE_LIMIT_S = 6.0
 # How long a target serves on after it said that it leaves, and how long an
 # address stays free before another target has it.
-LEAVES_S = 4.0
-FREE_S = 2.2
+DRAIN_S = 4.0
+ADDRESS_REUSE_S = 2.2
 # An entry outlives its target by some missed renewals.
-ENTRY_OUTLIVES_S = 1.5
+LISTING_TTL_S = 1.5
 # The last requests after the time in which all must be served again.
 LAST_WINDOW_S = 3.0
 SHUTDOWN_S = 10.0
-FAULT_PART = 0.3
+FAULT_FRACTION = 0.3
 SLOW_MS = 150
-SWALLOWED = 8
+SWALLOWED_ORDERS = 8
 # After its end was asked for, the balancer sends a gateway connections for so
 # long.
 UNREADY_MS = 2_000
-ADDED_AFTER_MS = 2_500
+ROUTE_SETTLING_MS = 2_500
 # Long enough for callers to leave, and for faults to fall, in the middle.
 TIMING = platform_engine.Timing(
     load_ms=150.0, reload_ms=25.0, event_ms=25.0, work_ms=15.0
 )
 # How long a target rests.
-REST_S = 2.5
+BACKOFF_S = 2.5
 # How long a request that ends targets goes on at least.
-POISON_S = 12.0
+MIN_POISON_S = 12.0
 # A target that ended is started again after this.
-BACK_AFTER_S = 0.4
-NOT_RUN = frozenset(
+CRASH_RESTART_S = 0.4
+FAULTS_WITHOUT_RUN = frozenset(
     {
         platform_engine.Fault.SHED,
         platform_engine.Fault.RESET_UNRUN,
@@ -97,56 +97,60 @@
         """Makes one that does not listen yet."""
         super().__init__(instance, model=model, timing=TIMING)
         self._history = history
-        self.on_ended: Callable[[], None] = lambda: None
+        self.on_crash: Callable[[], None] = lambda: None
 
-    def _note(self, seen: platform_engine.Seen, *, ran: bool) -> None:
+    def _record_arrival(
+        self, request: platform_engine.ReceivedRequest, *, ran: bool
+    ) -> None:
         self._history.arrivals.append(
             history_lib.Arrival(
-                seen.attempt_id,
+                request.attempt_id,
                 self.instance,
                 history_lib.now_ms(),
                 ran,
-                seen.headers.get("x-tenant", ""),
-                "authorization" in seen.headers,
+                request.headers.get("x-tenant", ""),
+                "authorization" in request.headers,
             )
         )
 
     async def _answer(
-        self, seen: platform_engine.Seen, writer: asyncio.StreamWriter
+        self,
+        request: platform_engine.ReceivedRequest,
+        writer: asyncio.StreamWriter,
     ) -> None:
-        if not seen.target.startswith("/-/"):
-            wanted = seen.headers.get("x-target-instance", self.instance)
-            if wanted != self.instance or not self._holds(seen):
-                self._note(seen, ran=False)
-        await super()._answer(seen, writer)
+        if not request.target.startswith("/-/"):
+            expected = request.headers.get("x-target-instance", self.instance)
+            if expected != self.instance or not self._holds(request):
+                self._record_arrival(request, ran=False)
+        await super()._answer(request, writer)
 
     async def _run(
         self,
-        seen: platform_engine.Seen,
+        request: platform_engine.ReceivedRequest,
         writer: asyncio.StreamWriter,
         fault: platform_engine.Fault,
     ) -> None:
-        if seen.body == poison.BODY:
+        if request.body == poison.BODY:
             fault = platform_engine.Fault.CRASH
-        elif self.rest_s:
+        elif self.backoff_s:
             fault = platform_engine.Fault.SHED
             self._history.rests.append(
-                history_lib.Rest(
-                    seen.attempt_id,
+                history_lib.BackoffResponse(
+                    request.attempt_id,
                     self.instance,
                     history_lib.now_ms(),
-                    round(self.rest_s * MS_PER_S),
+                    round(self.backoff_s * MS_PER_S),
                 )
             )
-        self._note(seen, ran=fault not in NOT_RUN)
+        self._record_arrival(request, ran=fault not in FAULTS_WITHOUT_RUN)
         try:
-            await super()._run(seen, writer, fault)
+            await super()._run(request, writer, fault)
         finally:
             if self.ended:
-                self.on_ended()
+                self.on_crash()
 
 
-class Place:
+class TargetVm:
     """One target VM: its link, the target that runs there now, its sidecar."""
 
     def __init__(self, number: int, host: str, *, engine: bool) -> None:
@@ -161,7 +165,7 @@
         self.busy = False
 
 
-class World:
+class SoakRun:
     """All of one run."""
 
     def __init__(
@@ -180,14 +184,14 @@
         self.history = history_lib.History(seed, RETRY_EXTRA)
         self.store = platform_store.PlatformStore()
         self.subnet = f"127.{60 + seed // 250 % 150}.{seed % 250}"
-        self.places = [
-            Place(number, f"{self.subnet}.{30 + number}", engine=engine)
+        self.vms = [
+            TargetVm(number, f"{self.subnet}.{30 + number}", engine=engine)
             for number, engine in enumerate(
                 [True] * size.engines + [False] * size.plain
             )
         ]
         self.gateways = [self._gateway(n) for n in range(size.gateways)]
-        self.out_since_ms: dict[int, int] = {}
+        self.stopping_since_ms: dict[int, int] = {}
         self.restarts: list[asyncio.Task[None]] = []
         self.routes: list[tuple[str, int]] = []
         self.version = 1
@@ -206,14 +210,14 @@
             "platform": {"url": f"http://{self.subnet}.1:{STORE_PORT}"},
             "seeds": [f"{self._gateway_host(0)}:{PEERS_PORT}"],
             "gateway": {
-                "listen": f"{host}:{FRONT_PORT}",
+                "listen": f"{host}:{GATEWAY_PORT}",
                 "readiness": f"{host}:{READY_PORT}",
                 "peers": f"{host}:{PEERS_PORT}",
-                "control": f"{host}:{FLEET_PORT}",
+                "control": f"{host}:{CONTROL_PORT}",
                 "admin": f"{host}:{ADMIN_PORT}",
-                "sidecar_port": FLEET_PORT,
+                "sidecar_port": CONTROL_PORT,
                 "retry_extra": RETRY_EXTRA,
-                "leaving_ms": judge.LEAVING_MS,
+                "leaving_ms": judge.DRAINING_SETTLING_MS,
                 "usage_window_ms": accounts_lib.RULES.window_ms,
                 "usage_overage": accounts_lib.RULES.overage,
                 "usage_tolerance": accounts_lib.RULES.tolerance,
@@ -221,132 +225,132 @@
         }
         return processes.Program(f"gateway-{number}", settings, self.folder)
 
-    def _sidecar(self, place: Place) -> processes.Program:
+    def _sidecar(self, vm: TargetVm) -> processes.Program:
         settings = {
             "role": "sidecar",
-            "name": f"side-{place.number}",
+            "name": f"side-{vm.number}",
             "failure_domain": "site/north",
             "platform": {"url": f"http://{self.subnet}.1:{STORE_PORT}"},
             "sidecar": {
-                "engine": f"{place.host}:{TARGET_PORT}",
-                "control": f"{place.host}:{FLEET_PORT}",
-                "admin": f"{place.host}:{ADMIN_PORT}",
+                "engine": f"{vm.host}:{TARGET_PORT}",
+                "control": f"{vm.host}:{CONTROL_PORT}",
+                "admin": f"{vm.host}:{ADMIN_PORT}",
             },
         }
-        return processes.Program(f"side-{place.number}", settings, self.folder)
+        return processes.Program(f"side-{vm.number}", settings, self.folder)
 
     # Targets.
 
-    async def _occupy(self, place: Place) -> None:
+    async def _start_target(self, vm: TargetVm) -> None:
         """Starts a new target at a place, and registers it."""
-        place.starts += 1
-        name = f"i-{place.number}-{place.starts}"
-        model = platform_site.MODEL if place.engine else ""
-        place.target = Target(name, self.history, model=model)
-        await place.target.start(place.host, TARGET_PORT)
-        place.target.on_ended = functools.partial(self._ended, place)
-        if not place.link.is_open:
-            await place.link.start(place.host, LINK_PORT)
-        self._register(place)
-
-    def _ended(self, place: Place) -> None:
+        vm.starts += 1
+        name = f"i-{vm.number}-{vm.starts}"
+        model = platform_site.MODEL if vm.engine else ""
+        vm.target = Target(name, self.history, model=model)
+        await vm.target.start(vm.host, TARGET_PORT)
+        vm.target.on_crash = functools.partial(self._handle_crash, vm)
+        if not vm.link.is_open:
+            await vm.link.start(vm.host, LINK_PORT)
+        self._register(vm)
+
+    def _handle_crash(self, vm: TargetVm) -> None:
         """Takes that a target ended under a request."""
-        target = place.target
-        target.on_ended = lambda: None
+        target = vm.target
+        target.on_crash = lambda: None
         # Nothing listens there until it is started again.
-        place.link.stop()
-        if not place.busy:
-            place.busy = True
-            self.restarts.append(asyncio.create_task(self._bring_back(place)))
-
-    async def _bring_back(self, place: Place) -> None:
-        target = place.target
-        self._settle(target)
-        await asyncio.sleep(BACK_AFTER_S)
-        await self._occupy(place)
-        place.busy = False
-        await asyncio.sleep(ENTRY_OUTLIVES_S)
+        vm.link.stop()
+        if not vm.busy:
+            vm.busy = True
+            self.restarts.append(
+                asyncio.create_task(self._restart_after_crash(vm))
+            )
+
+    async def _restart_after_crash(self, vm: TargetVm) -> None:
+        target = vm.target
+        self._record_orders(target)
+        await asyncio.sleep(CRASH_RESTART_S)
+        await self._start_target(vm)
+        vm.busy = False
+        await asyncio.sleep(LISTING_TTL_S)
         self.store.delete("servers", target.instance)
 
-    def _register(self, place: Place, state: str = "ready") -> None:
-        service = platform_site.ENGINES if place.engine else platform_site.PLAIN
-        entry = place.target.listing(
-            service, f"{place.host}:{LINK_PORT}", "north"
-        )
-        self.store.put(
-            "servers", place.target.instance, entry | {"state": state}
-        )
+    def _register(self, vm: TargetVm, state: str = "ready") -> None:
+        service = platform_site.ENGINES if vm.engine else platform_site.PLAIN
+        entry = vm.target.listing(service, f"{vm.host}:{LINK_PORT}", "north")
+        self.store.put("servers", vm.target.instance, entry | {"state": state})
 
-    def _settle(self, target: Target) -> None:
+    def _record_orders(self, target: Target) -> None:
         """Keeps what a target saw of orders."""
         if target.crashed:
             self.history.overfilled.append(target.instance)
         holders = sorted({str(one["holder"]) for one in target.orders})
         self.history.holders[target.instance] = holders
 
-    async def _restart_target(self, place: Place) -> None:
-        target = place.target
+    async def _restart_target(self, vm: TargetVm) -> None:
+        target = vm.target
         await target.stop()
-        self._settle(target)
+        self._record_orders(target)
         await asyncio.sleep(0.2)
-        await self._occupy(place)
-        await asyncio.sleep(ENTRY_OUTLIVES_S)
+        await self._start_target(vm)
+        await asyncio.sleep(LISTING_TTL_S)
         self.store.delete("servers", target.instance)
 
-    async def _leave(self, place: Place) -> None:
-        target = place.target
-        self._register(place, "draining")
+    async def _drain_by_listing(self, vm: TargetVm) -> None:
+        target = vm.target
+        self._register(vm, "draining")
         self.history.leaving[target.instance] = history_lib.now_ms()
-        await self._depart(place)
+        await self._finish_draining(vm)
 
-    async def _depart(self, place: Place) -> None:
+    async def _finish_draining(self, vm: TargetVm) -> None:
         """Lets a target that leaves serve on for a while, then replaces it."""
-        target = place.target
-        await asyncio.sleep(LEAVES_S)
+        target = vm.target
+        await asyncio.sleep(DRAIN_S)
         await target.stop()
-        self._settle(target)
+        self._record_orders(target)
         self.store.delete("servers", target.instance)
-        await asyncio.sleep(FREE_S)
-        await self._occupy(place)
+        await asyncio.sleep(ADDRESS_REUSE_S)
+        await self._start_target(vm)
 
-    async def _leave_by_word(self, place: Place) -> None:
+    async def _drain_by_header(self, vm: TargetVm) -> None:
         """Has a target leave that the store never hears of."""
-        place.target.leaving = True
-        await self._depart(place)
-
-    def _spoil(self, seen: platform_engine.Seen) -> platform_engine.Fault:
-        del seen
-        if self.random.random() > FAULT_PART:
+        vm.target.leaving = True
+        await self._finish_draining(vm)
+
+    def _draw_target_fault(
+        self, request: platform_engine.ReceivedRequest
+    ) -> platform_engine.Fault:
+        del request
+        if self.random.random() > FAULT_FRACTION:
             return platform_engine.Fault.NONE
         return self.random.choice(FAULTS)
 
     # Faults.
 
-    async def strike(self, fault: schedule.Fault) -> None:
+    async def inject(self, fault: schedule.Fault) -> None:
         """Does what a schedule says, to its end."""
         began_ms = history_lib.now_ms()
         for_s = fault.for_ms / MS_PER_S
-        if fault.kind in schedule.OF_GATEWAYS:
+        if fault.kind in schedule.GATEWAY_KINDS:
             victim = f"gateway-{fault.victim}"
-            await self._strike_gateway(fault.kind, fault.victim, for_s)
-        elif fault.kind in schedule.OF_SIDES:
-            place = self.places[fault.victim]
+            await self._inject_gateway(fault.kind, fault.victim, for_s)
+        elif fault.kind in schedule.SIDECAR_KINDS:
+            vm = self.vms[fault.victim]
             victim = f"side-{fault.victim}"
-            await self._strike_side(fault.kind, place, for_s)
-        elif fault.kind in schedule.OF_TARGETS:
-            place = self.places[fault.victim]
+            await self._inject_sidecar(fault.kind, vm, for_s)
+        elif fault.kind in schedule.TARGET_KINDS:
+            vm = self.vms[fault.victim]
             victim = f"target-{fault.victim}"
-            await self._strike_target(fault.kind, place, for_s)
+            await self._inject_target(fault.kind, vm, for_s)
         else:
-            victim = schedule.OF_THE_SITE.get(fault.kind, "store")
-            await self._strike_site(fault.kind, for_s)
+            victim = schedule.SITE_VICTIMS.get(fault.kind, "store")
+            await self._inject_site(fault.kind, for_s)
         self.history.events.append(
             history_lib.Event(
                 str(fault.kind), victim, began_ms, history_lib.now_ms()
             )
         )
 
-    async def _strike_gateway(
+    async def _inject_gateway(
         self, kind: Kind, number: int, for_s: float
     ) -> None:
         program = self.gateways[number]
@@ -359,66 +363,66 @@
             program.signal(signal.SIGCONT)
             return
         if kind is Kind.GATEWAY_TERM:
-            self.out_since_ms.setdefault(number, history_lib.now_ms())
+            self.stopping_since_ms.setdefault(number, history_lib.now_ms())
             program.signal(signal.SIGTERM)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(program.wait(), SHUTDOWN_S)
-        await program.end()
+        await program.kill()
         await self._start(program)
-        self.out_since_ms.pop(number, None)
+        self.stopping_since_ms.pop(number, None)
 
     async def _start(self, program: processes.Program) -> None:
         if not program.is_running:
             await program.start()
 
-    async def _strike_side(
-        self, kind: Kind, place: Place, for_s: float
+    async def _inject_sidecar(
+        self, kind: Kind, vm: TargetVm, for_s: float
     ) -> None:
         if kind is Kind.ORDERS_SWALLOWED:
-            place.target.swallow_orders = SWALLOWED
+            vm.target.swallow_orders = SWALLOWED_ORDERS
         elif kind is Kind.SIDE_PAUSE:
-            place.sidecar.signal(signal.SIGSTOP)
+            vm.sidecar.signal(signal.SIGSTOP)
             await asyncio.sleep(for_s)
-            place.sidecar.signal(signal.SIGCONT)
+            vm.sidecar.signal(signal.SIGCONT)
         else:
-            await place.sidecar.end()
-            await self._start(place.sidecar)
+            await vm.sidecar.kill()
+            await self._start(vm.sidecar)
 
-    async def _strike_target(
-        self, kind: Kind, place: Place, for_s: float
+    async def _inject_target(
+        self, kind: Kind, vm: TargetVm, for_s: float
     ) -> None:
         if kind is Kind.LINK_RESET:
-            place.link.reset()
+            vm.link.reset()
         elif kind is Kind.LINK_SILENT:
-            place.link.link.silent = True
+            vm.link.link.silent = True
             await asyncio.sleep(for_s)
-            place.link.link.silent = False
+            vm.link.link.silent = False
         elif kind is Kind.LINK_SLOW:
-            place.link.link.delay_ms = SLOW_MS
+            vm.link.link.delay_ms = SLOW_MS
             await asyncio.sleep(for_s)
-            place.link.link.delay_ms = 0
+            vm.link.link.delay_ms = 0
         elif kind is Kind.REST:
-            target = place.target
-            target.rest_s = REST_S
+            target = vm.target
+            target.backoff_s = BACKOFF_S
             await asyncio.sleep(for_s)
-            target.rest_s = 0.0
+            target.backoff_s = 0.0
         elif kind is Kind.RATE_LIMIT:
-            await self._advertise_rate_limit(place.target, for_s)
+            await self._advertise_rate_limit(vm.target, for_s)
         elif kind is Kind.TARGET_FAULTS:
-            target = place.target
-            target.fault = self._spoil
+            target = vm.target
+            target.fault = self._draw_target_fault
             await asyncio.sleep(for_s)
-            target.fault = lambda seen: platform_engine.Fault.NONE
-        elif not place.busy:
+            target.fault = lambda request: platform_engine.Fault.NONE
+        elif not vm.busy:
             # One change of who runs at a place at a time.
-            place.busy = True
+            vm.busy = True
             if kind is Kind.TARGET_RESTART:
-                await self._restart_target(place)
+                await self._restart_target(vm)
             elif kind is Kind.LEAVE_BY_WORD:
-                await self._leave_by_word(place)
+                await self._drain_by_header(vm)
             else:
-                await self._leave(place)
-            place.busy = False
+                await self._drain_by_listing(vm)
+            vm.busy = False
 
     async def _advertise_rate_limit(self, target: Target, for_s: float) -> None:
         """Has a target advertise a rate limit long enough for it to settle."""
@@ -434,14 +438,14 @@
             )
         )
 
-    async def _strike_site(self, kind: Kind, for_s: float) -> None:
+    async def _inject_site(self, kind: Kind, for_s: float) -> None:
         faults = self.store.faults
         match kind:
             case Kind.ALL_KILL:
-                sidecars = [one.sidecar for one in self.places if one.engine]
+                sidecars = [one.sidecar for one in self.vms if one.engine]
                 programs = [*self.gateways, *sidecars]
                 for program in programs:
-                    await program.end()
+                    await program.kill()
                 for program in programs:
                     await self._start(program)
             case Kind.STORE_REFUSES:
@@ -463,21 +467,21 @@
             case Kind.STORE_RESTORED:
                 await self._restore_store(for_s)
             case Kind.VERSION:
-                self._announce()
+                self._announce_version()
             case Kind.CONFIGURATION:
-                self._configure()
+                self._add_route()
             case Kind.KEYS:
                 self.accounts.rotate()
                 self._write_configuration()
             case Kind.RUSH:
-                await accounts_lib.rush(
+                await accounts_lib.send_burst(
                     self.history, self._choose_gateway, for_s
                 )
             case Kind.POISON:
                 source = random.Random(self.random.random())
                 await poison.PoisonRequest(
                     self.history, source, self._choose_gateway
-                ).run(for_s + POISON_S)
+                ).run(for_s + MIN_POISON_S)
 
     async def _restore_store(self, for_s: float) -> None:
         """Restores the store from an older copy, then rewrites lost objects."""
@@ -511,11 +515,11 @@
             elif latest[name] != restored.get(name):
                 self.store.put(kind, name, latest[name]["spec"])
 
-    def _announce(self) -> None:
-        adapter = f"a{self.random.randrange(callers.ADAPTERS)}"
+    def _announce_version(self) -> None:
+        adapter = f"a{self.random.randrange(callers.ADAPTER_COUNT)}"
         self.version += 1
-        for place in self.places:
-            place.target.newest[adapter] = self.version
+        for vm in self.vms:
+            vm.target.newest[adapter] = self.version
         spec = {
             "model": platform_site.MODEL,
             "adapter": adapter,
@@ -523,7 +527,7 @@
         }
         self.store.put("versions", f"{platform_site.MODEL}.{adapter}", spec)
 
-    def _configure(self) -> None:
+    def _add_route(self) -> None:
         name = f"added{len(self.routes)}"
         self.routes.append((name, history_lib.now_ms()))
         self._write_configuration()
@@ -531,7 +535,7 @@
     def _write_configuration(self) -> None:
         self.config_version += 2
         body = platform_site.configuration(
-            self.config_version, tenants=self.accounts.written()
+            self.config_version, tenants=self.accounts.to_configuration()
         )
         for route in body["routes"]:
             # A route that allows one target is never sent on twice, whatever
@@ -549,19 +553,20 @@
 
     def _choose_gateway(self) -> tuple[int, str] | None:
         now_ms = history_lib.now_ms()
-        open_ones = [
+        accepting = [
             number
             for number, program in enumerate(self.gateways)
             if program.is_running
-            and now_ms - self.out_since_ms.get(number, now_ms) <= UNREADY_MS
+            and now_ms - self.stopping_since_ms.get(number, now_ms)
+            <= UNREADY_MS
         ]
-        if not open_ones:
+        if not accepting:
             return None
-        number = self.random.choice(open_ones)
-        return number, f"{self._gateway_host(number)}:{FRONT_PORT}"
+        number = self.random.choice(accepting)
+        return number, f"{self._gateway_host(number)}:{GATEWAY_PORT}"
 
     def _added_routes(self) -> list[str]:
-        until_ms = history_lib.now_ms() - ADDED_AFTER_MS
+        until_ms = history_lib.now_ms() - ROUTE_SETTLING_MS
         return [name for name, at_ms in self.routes if at_ms < until_ms]
 
     # The run.
@@ -576,23 +581,23 @@
                 )
             )
             try:
-                await self._play(length_ms)
+                await self._run_programs(length_ms)
             finally:
                 with anyio.CancelScope(shield=True):
-                    await self._end()
+                    await self._stop_all()
                 tasks.cancel_scope.cancel()
         return self.history
 
-    async def _play(self, length_ms: int) -> None:
+    async def _run_programs(self, length_ms: int) -> None:
         self._write_configuration()
-        for place in self.places:
-            await self._occupy(place)
-            if place.engine:
-                place.sidecar = self._sidecar(place)
-                await place.sidecar.start()
+        for vm in self.vms:
+            await self._start_target(vm)
+            if vm.engine:
+                vm.sidecar = self._sidecar(vm)
+                await vm.sidecar.start()
         for program in self.gateways:
             await program.start()
-        await self._until_served()
+        await self._wait_accepting()
         calling = [
             asyncio.create_task(
                 callers.Caller(
@@ -603,12 +608,12 @@
                     self.accounts.draw,
                 ).run()
             )
-            for _ in range(CALLERS)
+            for _ in range(CALLER_COUNT)
         ]
         try:
-            await self._inject(length_ms)
+            await self._run_schedule(length_ms)
             self.history.quiet_from_ms = history_lib.now_ms()
-            await asyncio.sleep(judge.RECOVER_MS / MS_PER_S + LAST_WINDOW_S)
+            await asyncio.sleep(judge.RECOVERY_MS / MS_PER_S + LAST_WINDOW_S)
             self._measure()
             await self._stop_gracefully()
         finally:
@@ -616,10 +621,10 @@
                 task.cancel()
             await asyncio.gather(*calling, return_exceptions=True)
 
-    async def _until_served(self) -> None:
+    async def _wait_accepting(self) -> None:
         async with asyncio.timeout(START_LIMIT_S):
             for number in range(self.size.gateways):
-                address = (self._gateway_host(number), FRONT_PORT)
+                address = (self._gateway_host(number), GATEWAY_PORT)
                 while True:
                     try:
                         _, writer = await asyncio.open_connection(*address)
@@ -629,15 +634,15 @@
                     writer.close()
                     break
 
-    async def _inject(self, length_ms: int) -> None:
+    async def _run_schedule(self, length_ms: int) -> None:
         began_ms = history_lib.now_ms()
-        striking = []
+        injections = []
         faults = schedule.draw(self.seed, length_ms, self.size, self.kinds)
         for fault in faults:
             wait_ms = began_ms + fault.at_ms - history_lib.now_ms()
             await asyncio.sleep(max(0, wait_ms) / MS_PER_S)
-            striking.append(asyncio.create_task(self.strike(fault)))
-        await asyncio.gather(*striking)
+            injections.append(asyncio.create_task(self.inject(fault)))
+        await asyncio.gather(*injections)
         while self.restarts:
             await self.restarts.pop()
         self.store.faults = platform_store.Faults()
@@ -647,7 +652,7 @@
     async def _stop_gracefully(self) -> None:
         for number, program in enumerate(self.gateways):
             now_ms = history_lib.now_ms()
-            self.out_since_ms[number] = now_ms
+            self.stopping_since_ms[number] = now_ms
             self.history.events.append(
                 history_lib.Event(
                     "final_stop", f"gateway-{number}", now_ms, now_ms
@@ -659,7 +664,7 @@
                 await asyncio.wait_for(program.wait(), SHUTDOWN_S)
 
     def _programs(self) -> list[processes.Program]:
-        sidecars = [one.sidecar for one in self.places if one.sidecar]
+        sidecars = [one.sidecar for one in self.vms if one.sidecar]
         return [*self.gateways, *sidecars]
 
     def _measure(self) -> None:
@@ -667,14 +672,14 @@
             program.measure()
             self.history.memory_mib[program.name] = program.memory_mib
 
-    async def _end(self) -> None:
+    async def _stop_all(self) -> None:
         for program in self._programs():
-            await program.end()
-        for place in self.places:
-            place.link.stop()
-            if place.target is not None:
-                await place.target.stop()
-                self._settle(place.target)
+            await program.kill()
+        for vm in self.vms:
+            vm.link.stop()
+            if vm.target is not None:
+                await vm.target.stop()
+                self._record_orders(vm.target)
 
 
 async def run(
@@ -685,7 +690,7 @@
     kinds: tuple[Kind, ...] = tuple(Kind),
 ) -> history_lib.History:
     """Plays one seed; its settings and logs go to a folder."""
-    return await World(seed, size, folder, kinds).run(length_ms)
+    return await SoakRun(seed, size, folder, kinds).run(length_ms)
 
 
 def outcome_counts(history: history_lib.History) -> dict[str, Any]:
--- a/tests/daemon/records.py
+++ b/tests/daemon/records.py
@@ -130,7 +130,7 @@
             assert executions == 0, record
         if answer.status == 200 and answer.whole:
             fields = {"prompt": record.name, "max_tokens": self.tokens}
-            expected = answer_lib.text_of(record.model, fields)
+            expected = answer_lib.expected_text(record.model, fields)
             assert fixtures.text_of_stream(answer.body) == expected, record
             assert answer.headers["x-radishstack-adapter"] == record.model
 
--- a/tests/daemon/test_cuts.py
+++ b/tests/daemon/test_cuts.py
@@ -55,7 +55,7 @@
             caller.join()
         assert answers[0].whole, answers
         fields = {"prompt": "long", "max_tokens": TOKENS}
-        expected = answer_lib.text_of("adapter-1@1", fields)
+        expected = answer_lib.expected_text("adapter-1@1", fields)
         assert fixtures.text_of_stream(answers[0].body) == expected
         assert len(site.state("engine-1-behind")["executions"]) == 1
 
--- a/tests/daemon/test_path.py
+++ b/tests/daemon/test_path.py
@@ -6,7 +6,7 @@
 
 
 def _expected(model: str, prompt: str, count: int) -> str:
-    return answer.text_of(model, {"prompt": prompt, "max_tokens": count})
+    return answer.expected_text(model, {"prompt": prompt, "max_tokens": count})
 
 
 def test_cold_adapter_is_answered_whole_streamed_and_plain() -> None:
--- a/tests/fleet/test_accounts.py
+++ b/tests/fleet/test_accounts.py
@@ -43,7 +43,7 @@
     )
 
 
-def _seen(fleet: fixtures.Fleet) -> list[platform_engine.Seen]:
+def _seen(fleet: fixtures.Fleet) -> list[platform_engine.ReceivedRequest]:
     return [one for target in fleet.targets.values() for one in target.seen]
 
 
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -17,7 +17,7 @@
 POISON = b"a body that ends whatever runs it"
 
 
-def _crash_on_poison(seen: platform_engine.Seen) -> Fault:
+def _crash_on_poison(seen: platform_engine.ReceivedRequest) -> Fault:
     return Fault.CRASH if seen.body == POISON else Fault.NONE
 
 
@@ -110,7 +110,7 @@
     """Has the request end whatever runs it; returns a log of its runs."""
     runs: list[str] = []
 
-    def crash(seen: platform_engine.Seen) -> Fault:
+    def crash(seen: platform_engine.ReceivedRequest) -> Fault:
         fault = _crash_on_poison(seen)
         if fault is Fault.CRASH:
             runs.append(seen.attempt_id)
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -90,7 +90,7 @@
             for number in range(4):
                 await fleet.call("/chat/x", adapter=f"a{number}")
             late = dict(engine.orders[0])
-            assert engine.take_order(late) == 409
+            assert engine.execute_order(late) == 409
             assert not engine.crashed
 
     fixtures.run(play)
--- a/tests/fleet/test_forwarding_path.py
+++ b/tests/fleet/test_forwarding_path.py
@@ -66,7 +66,7 @@
         async with fixtures.running_fleet(engines=0) as fleet:
             lost = set()
 
-            def lose_first(seen: platform_engine.Seen) -> Fault:
+            def lose_first(seen: platform_engine.ReceivedRequest) -> Fault:
                 if seen.attempt_id in lost:
                     return Fault.NONE
                 lost.add(seen.attempt_id)
@@ -126,7 +126,7 @@
         async with fixtures.running_fleet() as fleet:
             cut = set()
 
-            def cut_first(seen: platform_engine.Seen) -> Fault:
+            def cut_first(seen: platform_engine.ReceivedRequest) -> Fault:
                 if seen.attempt_id in cut:
                     return Fault.NONE
                 cut.add(seen.attempt_id)
@@ -374,7 +374,7 @@
                 if one.model and one is not holder
             )
 
-            def full_once(seen: platform_engine.Seen) -> Fault:
+            def full_once(seen: platform_engine.ReceivedRequest) -> Fault:
                 shed.append(seen.attempt_id)
                 return Fault.SHED if len(shed) == 1 else Fault.NONE
 
--- a/tests/fleet/test_soak.py
+++ b/tests/fleet/test_soak.py
@@ -44,7 +44,7 @@
         "b1", "book", 0, 0, 100, 200, True, '{"attempt": "b1"}'
     )
     refused = history_lib.Attempt("b2", "book", 0, 0, 100, 503, True, "")
-    late_ms = judge.RECOVER_MS + 10
+    late_ms = judge.RECOVERY_MS + 10
     last = dataclasses.replace(
         book, attempt_id="b3", body='{"attempt": "b3"}', sent_at_ms=late_ms
     )
@@ -87,7 +87,7 @@
     left.arrivals[0] = dataclasses.replace(left.arrivals[0], at_ms=601)
     assert _broken(left) == {"nothing is sent for a caller that left"}
     leaving = _history()
-    leaving.leaving["i"] = -judge.LEAVING_MS
+    leaving.leaving["i"] = -judge.DRAINING_SETTLING_MS
     assert _broken(leaving) == {"a leaving target gets no work"}
     filled = _history()
     filled.overfilled.append("i")
@@ -109,7 +109,7 @@
     )
     assert _broken(cut) == {"a graceful stop cuts nothing"}
     large = _history()
-    large.memory_mib["gateway-0"] = judge.MEMORY_MIB + 1
+    large.memory_mib["gateway-0"] = judge.MAX_MEMORY_MIB + 1
     assert _broken(large) == {"memory is bounded"}
 
 
@@ -152,7 +152,7 @@
     return history
 
 
-def test_the_judge_finds_whose_key_was_served_or_refused() -> None:
+def test_the_judge_finds_wrong_decisions_on_keys() -> None:
     """Guards against a judge of accounts that passes whatever happens."""
     guest = _with_account("g", accounts.ROTATING, "guest-1")
     assert not _broken(guest)
@@ -160,11 +160,13 @@
     assert _broken(guest) == {"only a known key is served"}
     refused = _with_account("g", accounts.ROTATING, "guest-1", status=401)
     assert _broken(refused) == {"a known key is let in"}
-    forged = _with_account("g", accounts.NOBODY, accounts.FORGED)
+    forged = _with_account("g", accounts.NO_ACCOUNT, accounts.FORGED)
     assert _broken(forged) == {"only a known key is served"}
-    told = _with_account("g", accounts.ROTATING, "guest-1")
-    told.arrivals[-1] = dataclasses.replace(told.arrivals[-1], had_key=True)
-    assert _broken(told) == {"its account is named, and no key is told"}
+    reported = _with_account("g", accounts.ROTATING, "guest-1")
+    reported.arrivals[-1] = dataclasses.replace(
+        reported.arrivals[-1], had_key=True
+    )
+    assert _broken(reported) == {"its account is named, and no key is told"}
     other = _with_account("g", accounts.ROTATING, "guest-1")
     other.arrivals[-1] = dataclasses.replace(other.arrivals[-1], account="crew")
     assert _broken(other) == {"its account is named, and no key is told"}
@@ -173,7 +175,7 @@
 def test_the_judge_finds_a_cap_that_does_not_hold() -> None:
     """Guards against a judge of caps that passes whatever happens."""
     key = accounts.KEYS[accounts.CAPPED]
-    limit = accounts.CAP.limit(accounts.WINDOW_MS)
+    limit = accounts.CAP.limit(accounts.USAGE_WINDOW_MS)
     allowed = limit * (1 + accounts.RULES.overage) + accounts.RULES.tolerance
     for count, broken in (
         (int(allowed), set()),
@@ -210,16 +212,16 @@
     return history
 
 
-def test_the_judge_finds_what_ends_targets_and_whom_it_hits() -> None:
+def test_the_judge_finds_repeated_crashes_and_false_rejections() -> None:
     """Three more may end after the third, and nobody else is refused."""
-    assert not _broken(_poisoned(judge.MOST_ENDED + judge.MOST_REPEATS))
-    on_and_on = _poisoned(judge.MOST_ENDED + judge.MOST_REPEATS + 1)
-    assert _broken(on_and_on) == {"what ends targets is refused"}
-    unheard = _poisoned(judge.MOST_ENDED + judge.MOST_REPEATS + 1)
-    unheard.events.append(
+    assert not _broken(_poisoned(judge.MAX_CRASHES + judge.MAX_REPEATS))
+    too_many = _poisoned(judge.MAX_CRASHES + judge.MAX_REPEATS + 1)
+    assert _broken(too_many) == {"what ends targets is refused"}
+    disturbed = _poisoned(judge.MAX_CRASHES + judge.MAX_REPEATS + 1)
+    disturbed.events.append(
         history_lib.Event("gateway_pause", "gateway-1", 20_000, 24_500)
     )
-    assert not _broken(unheard)
+    assert not _broken(disturbed)
     refused = _history()
     refused.attempts[2] = dataclasses.replace(
         refused.attempts[2], body='{"type": "request_ends_targets"}'
@@ -227,26 +229,26 @@
     assert _broken(refused) == {"nobody else is refused"}
 
 
-def test_the_judge_finds_words_of_targets_that_do_not_count() -> None:
+def test_the_judge_finds_ignored_draining_and_backoff() -> None:
     """A gateway is bound by what it passed on, unless it began anew."""
-    told = _history()
-    late_ms = judge.LEAVING_MS + 1
-    told.leavers.append(history_lib.Leaver(0, "i", -late_ms))
+    reported = _history()
+    late_ms = judge.DRAINING_SETTLING_MS + 1
+    reported.leavers.append(history_lib.DrainingResponse(0, "i", -late_ms))
     # The last request is far from it: the first two are enough.
-    assert _broken(told) == {"a target's word that it leaves counts"}
+    assert _broken(reported) == {"a target's word that it leaves counts"}
     in_time = _history()
-    in_time.leavers.append(history_lib.Leaver(0, "other", -late_ms))
-    in_time.leavers.append(history_lib.Leaver(1, "i", -late_ms))
+    in_time.leavers.append(history_lib.DrainingResponse(0, "other", -late_ms))
+    in_time.leavers.append(history_lib.DrainingResponse(1, "i", -late_ms))
     assert not _broken(in_time)
     restarted = _history()
-    restarted.leavers.append(history_lib.Leaver(0, "i", -late_ms))
+    restarted.leavers.append(history_lib.DrainingResponse(0, "i", -late_ms))
     restarted.events.append(
         history_lib.Event("gateway_kill", "gateway-0", -10, -5)
     )
     assert not _broken(restarted)
-    resting = _history()
-    resting.rests.append(history_lib.Rest("b2", "i", -600, 1_000))
-    assert _broken(resting) == {"a target that asks for rest gets it"}
+    backed_off = _history()
+    backed_off.rests.append(history_lib.BackoffResponse("b2", "i", -600, 1_000))
+    assert _broken(backed_off) == {"a target that asks for rest gets it"}
 
 
 def test_the_judge_finds_a_rate_limit_that_is_exceeded() -> None:
@@ -293,7 +295,7 @@
     """Guards against a process of a soak that nobody ends."""
     started = 0
 
-    async def play(folder: pathlib.Path) -> None:
+    async def start_twice(folder: pathlib.Path) -> None:
         async def create(*args: str, **options: object) -> mock.Mock:
             nonlocal started
             started += 1
@@ -305,5 +307,5 @@
             await asyncio.gather(program.start(), program.start())
 
     with tempfile.TemporaryDirectory() as folder:
-        asyncio.run(play(pathlib.Path(folder)))
+        asyncio.run(start_twice(pathlib.Path(folder)))
     assert started == 1
--- a/tests/fleet/test_target_news.py
+++ b/tests/fleet/test_target_news.py
@@ -111,7 +111,7 @@
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             full = fleet.targets["i-plain0"]
             full.fault = lambda seen: Fault.SHED
-            full.rest_s = 600.0
+            full.backoff_s = 600.0
             answers = await _call(fleet, fleet.gateway)
             assert all(one.status == 200 for one in answers), answers
             await _pass(fleet, 500)
@@ -132,7 +132,7 @@
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             for target in fleet.targets.values():
                 target.fault = lambda seen: Fault.SHED
-                target.rest_s = 600.0
+                target.backoff_s = 600.0
             await _call(fleet, fleet.gateway)
             await _pass(fleet, 500)
             before = sum(len(one.seen) for one in fleet.targets.values())
