--- a/packages/standins/src/standins/engine.py
+++ b/packages/standins/src/standins/engine.py
@@ -30,7 +30,7 @@
         load_failure_rate: Share of loads that fail.
         checks_fencing: Whether it rejects orders with an old fencing number.
         weight_store_url: Store to fetch weights from; empty to skip the fetch.
-        report_lag_ms: Interval at which the load report is refreshed.
+        report_lag_ms: Maximum age of its load report.
         seed: Seed for the random failures.
     """
 
@@ -107,7 +107,7 @@
         self._reset_state()
 
     async def run(self) -> None:
-        """Runs the batch loop and refreshes the load report."""
+        """Runs the batch loop, and refreshes the load report at intervals."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.batch.run)
             tasks.start_soon(self._report_loop)
--- a/packages/standins/src/standins/platform_engine.py
+++ b/packages/standins/src/standins/platform_engine.py
@@ -338,7 +338,7 @@
         self.loaded_before.add(name)
 
     def _status_headers(self) -> list[str]:
-        """Returns headers that describe the target's state in all responses."""
+        """Returns the headers of all responses that describe the target."""
         lines = ["Server-Leaving: 1"] if self.leaving else []
         if self.rate_limit is not None:
             lines.append(f"Server-Limit: {self.rate_limit}")
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -298,7 +298,7 @@
 
 
 def _quarantine(evidence: Evidence) -> Iterator[Violation]:
-    """Checks that a request that crashed three targets reaches three more."""
+    """A request that crashed three targets may reach at most three more."""
     history = evidence.history
     runs_ms: dict[str, list[int]] = collections.defaultdict(list)
     late_runs: collections.Counter[str] = collections.Counter()
