--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -21,7 +21,7 @@
 NEVER_MS = 1e9
 
 
-class _NoPopularity:
+class _ConstantPopularity:
     """Popularity that knows nothing, so that the last use decides."""
 
     def touch(self, adapter: str, now_ms: int) -> None:
@@ -33,7 +33,7 @@
         return 0.0
 
 
-def _due_order() -> None:
+def _disable_due_order() -> None:
     wanted = adapter_keeper._RequestedLoad
     wanted.is_late = lambda self, now_ms, load_ms: False
     wanted.urgency_ms = lambda self: (
@@ -41,67 +41,69 @@
     )
 
 
-def _late_yield() -> None:
+def _disable_late_yield() -> None:
     adapter_keeper._RequestedLoad.is_late = lambda self, now_ms, load_ms: False
 
 
-def _refusal() -> None:
+def _disable_rejection() -> None:
     placement_lib.Placement._is_full = lambda *_: False
 
 
-def _copies() -> None:
+def _disable_replication() -> None:
     placement_lib.REPLICATION_THRESHOLD_MS = NEVER_MS
 
 
-def _overload_bound() -> None:
+def _disable_overload_bound() -> None:
     placement_lib.OVERLOADED_MS = NEVER_MS
 
 
-def _home_by_queue() -> None:
+def _disable_home_by_queue() -> None:
     placement_lib.HOME_WAIT_FETCHES = NEVER_MS
 
 
-def _memory() -> None:
+def _disable_warm_return() -> None:
     adapter_keeper.WARM_PER_SLOT = 0
 
 
-def _waiters() -> None:
+def _disable_waiter_credit() -> None:
     adapter_keeper.WAITER_CREDIT_MS = 0
 
 
-def _learned_gap() -> None:
+def _disable_gap_estimate() -> None:
     adapter_keeper.GAP_WEIGHT = 0.0
 
 
-def _popularity() -> None:
-    adapter_keeper.popularity.Popularity = lambda half_life_ms: _NoPopularity()
+def _disable_popularity() -> None:
+    adapter_keeper.popularity.Popularity = lambda half_life_ms: (
+        _ConstantPopularity()
+    )
 
 
-def _silence() -> None:
+def _disable_slow_first_byte() -> None:
     placement_lib.SLOW_FIRST_BYTE_WEIGHT = 0.0
 
 
 # What switches each mechanism off, in a process of its own.
 MECHANISMS: dict[str, Callable[[], None]] = {
-    "loads in the order in which they are due": _due_order,
-    "late loads yield": _late_yield,
-    "refusal by predicted wait": _refusal,
-    "copies of hot adapters": _copies,
-    "overloaded engines take no more": _overload_bound,
-    "homes passed over by their queue": _home_by_queue,
-    "return to where it was held": _memory,
-    "weight of waiting requests": _waiters,
-    "learned time between loads": _learned_gap,
-    "popularity in evictions": _popularity,
-    "silence counts against an engine": _silence,
+    "loads in the order in which they are due": _disable_due_order,
+    "late loads yield": _disable_late_yield,
+    "refusal by predicted wait": _disable_rejection,
+    "copies of hot adapters": _disable_replication,
+    "overloaded engines take no more": _disable_overload_bound,
+    "homes passed over by their queue": _disable_home_by_queue,
+    "return to where it was held": _disable_warm_return,
+    "weight of waiting requests": _disable_waiter_credit,
+    "learned time between loads": _disable_gap_estimate,
+    "popularity in evictions": _disable_popularity,
+    "silence counts against an engine": _disable_slow_first_byte,
 }
 
 
-def play(mechanism: str, load: str, seed: int) -> float:
+def simulate(mechanism: str, load: str, seed: int) -> float:
     """Plays one load without one mechanism; empty for with all."""
     if mechanism:
         MECHANISMS[mechanism]()
-    return replay.play(load, POLICY, seed).worth
+    return replay.simulate(load, POLICY, seed).worth
 
 
 @click.command()
@@ -114,17 +116,17 @@
     with concurrent.futures.ProcessPoolExecutor(
         jobs, max_tasks_per_child=1
     ) as pool:
-        plays = {
+        runs = {
             (mechanism, load): [
-                pool.submit(play, mechanism, load, seed)
+                pool.submit(simulate, mechanism, load, seed)
                 for seed in range(seeds)
             ]
             for mechanism in ("", *MECHANISMS)
             for load in loads
         }
-    worths = {key: [one.result() for one in row] for key, row in plays.items()}
+    worths = {key: [one.result() for one in row] for key, row in runs.items()}
     rows = []
-    kept = {}
+    results = {}
     for mechanism in MECHANISMS:
         row: list[object] = [mechanism]
         for load in loads:
@@ -133,10 +135,13 @@
             half = 1.96 * statistics.stdev(lost) / math.sqrt(len(lost))
             mean = statistics.mean(lost)
             row.append(f"{mean:+.3f} ±{half:.3f}")
-            kept.setdefault(mechanism, {})[load] = {"mean": mean, "half": half}
+            results.setdefault(mechanism, {})[load] = {
+                "mean": mean,
+                "half": half,
+            }
         rows.append(row)
     click.echo(report.table(["worth of", *loads], rows))
-    report.keep(name, kept)
+    report.save(name, results)
 
 
 if __name__ == "__main__":
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -8,7 +8,7 @@
 
 from bench import model
 
-LAG_MS = 1_000.0
+REPORT_LAG_MS = 1_000.0
 
 Done = Callable[[], None]
 
@@ -45,7 +45,7 @@
     def report(self) -> None:
         """Publishes the load, and again after the lag."""
         self.reported = self.load
-        self.clock.after(LAG_MS, self.report)
+        self.clock.after(REPORT_LAG_MS, self.report)
 
     def submit(self, arrival: model.Arrival, first: Done, done: Done) -> None:
         """Queues a request."""
@@ -89,24 +89,24 @@
         if len(self.resident) + len(self.loading) >= (
             self.engine.model.slot_count
         ):
-            wanted = {entry[0].adapter for entry in self.queue}
+            requested = {entry[0].adapter for entry in self.queue}
             idle = [
                 name
                 for name, uses in self.resident.items()
-                if not uses and name not in wanted
+                if not uses and name not in requested
             ]
             if not idle:
                 return
             del self.resident[idle[0]]
         self.loading.add(adapter)
 
-        def installed() -> None:
+        def finish_load() -> None:
             self.loading.discard(adapter)
             self.resident[adapter] = 0
             self.advance()
 
         self.weights.fetch(
-            lambda: self.clock.after(self.engine.model.install_ms, installed)
+            lambda: self.clock.after(self.engine.model.install_ms, finish_load)
         )
 
 
--- a/bench/batching.py
+++ b/bench/batching.py
@@ -45,11 +45,11 @@
     prompt_tokens_per_ms: float = 38.1
     chunk_tokens: int = 4_096
     event_tokens: int = 5
-    place_count: int = 16
+    slot_count: int = 16
     in_transit_count: int = 4
     load_ms: float = 250.0
     warm_load_ms: float = 25.0
-    memory_count: int = 96
+    host_cache_count: int = 96
     base_load_ms: float = 2_100.0
 
 
@@ -92,13 +92,13 @@
         self.clock = clock
         self.speeds = speeds
         self.name = name
-        self.starts = 0
+        self.incarnation = 0
         self.up = True
         self.fetches = 0
         self.residents: set[str] = {BASE}
         self.in_transit: dict[str, float] = {}
         self.accepted_count = 0
-        self._memory: dict[str, None] = {}
+        self._host_cache: dict[str, None] = {}
         self._waiting: list[tuple[int, int, Sequence]] = []
         self._running: list[Sequence] = []
         self._count = itertools.count()
@@ -107,7 +107,7 @@
     @property
     def instance(self) -> str:
         """Name of the present start."""
-        return f"{self.name}-{self.starts}"
+        return f"{self.name}-{self.incarnation}"
 
     def report(self) -> adapter_keeper.Report | None:
         """Returns what the engine says of itself, None while it is down."""
@@ -125,10 +125,10 @@
     def restart(self, down_ms: float) -> None:
         """Loses all it has and runs, and is back after a while."""
         self.up = False
-        self.starts += 1
+        self.incarnation += 1
         self.residents.clear()
         self.in_transit.clear()
-        self._memory.clear()
+        self._host_cache.clear()
         lost = self._running + [entry[2] for entry in self._waiting]
         self._waiting, self._running = [], []
         self._stepping = False
@@ -136,14 +136,14 @@
         for sequence in lost:
             sequence.on_lost()
 
-        def back() -> None:
+        def come_up() -> None:
             self.up = True
 
-        def based() -> None:
+        def base_loaded() -> None:
             self.residents.add(BASE)
 
-        self.clock.after(down_ms, back)
-        self.clock.after(down_ms + self.speeds.base_load_ms, based)
+        self.clock.after(down_ms, come_up)
+        self.clock.after(down_ms + self.speeds.base_load_ms, base_loaded)
 
     def order(self, order: adapter_keeper.Order) -> None:
         """Carries out an order of the process beside it."""
@@ -154,25 +154,25 @@
         if adapter_keeper.is_base(order.adapter):
             return
         occupied = len(self.residents) - 1 + len(self.in_transit)
-        assert occupied < self.speeds.place_count, "an adapter too many"
+        assert occupied < self.speeds.slot_count, "an adapter too many"
         took_ms = self._fetch_ms(order.adapter)
         self.in_transit[order.adapter] = self.clock.now_ms + took_ms
-        start = self.starts
+        incarnation = self.incarnation
 
         def arrived() -> None:
-            if start == self.starts:
+            if incarnation == self.incarnation:
                 del self.in_transit[order.adapter]
                 self.residents.add(order.adapter)
 
         self.clock.after(took_ms, arrived)
 
     def _fetch_ms(self, adapter: str) -> float:
-        held = adapter in self._memory
-        self._memory.pop(adapter, None)
-        self._memory[adapter] = None
-        while len(self._memory) > self.speeds.memory_count:
-            del self._memory[next(iter(self._memory))]
-        if held:
+        is_cached = adapter in self._host_cache
+        self._host_cache.pop(adapter, None)
+        self._host_cache[adapter] = None
+        while len(self._host_cache) > self.speeds.host_cache_count:
+            del self._host_cache[next(iter(self._host_cache))]
+        if is_cached:
             return self.speeds.warm_load_ms
         self.fetches += 1
         return self.speeds.load_ms
@@ -195,35 +195,35 @@
         if not self._running:
             self._stepping = False
             return
-        room = self.speeds.chunk_tokens
+        token_budget = self.speeds.chunk_tokens
         reading = [one for one in self._running if one.prompt_tokens]
         for sequence in sorted(reading, key=lambda one: one.rank):
-            piece = min(room, sequence.prompt_tokens)
-            sequence.prompt_tokens -= piece
-            room -= piece
-            if not room:
+            chunk = min(token_budget, sequence.prompt_tokens)
+            sequence.prompt_tokens -= chunk
+            token_budget -= chunk
+            if not token_budget:
                 break
-        read = self.speeds.chunk_tokens - room
+        read = self.speeds.chunk_tokens - token_budget
         took_ms = self.speeds.step_ms + read / self.speeds.prompt_tokens_per_ms
         took_ms += self.speeds.step_ms_per_sequence * len(self._running)
-        start = self.starts
-        self.clock.after(took_ms, lambda: self._stepped(start))
+        incarnation = self.incarnation
+        self.clock.after(took_ms, lambda: self._finish_step(incarnation))
 
-    def _stepped(self, start: int) -> None:
-        if start != self.starts:
+    def _finish_step(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
-        going = []
+        unfinished = []
         for sequence in self._running:
             if sequence.prompt_tokens or sequence.cancelled:
-                going.append(sequence)
+                unfinished.append(sequence)
                 continue
             sequence.tokens -= 1
             if sequence.on_first is not None:
                 sequence.on_first()
                 sequence.on_first = None
             if sequence.tokens > 0:
-                going.append(sequence)
+                unfinished.append(sequence)
             else:
                 sequence.on_end()
-        self._running = going
+        self._running = unfinished
         self._step()
--- a/bench/control.py
+++ b/bench/control.py
@@ -112,7 +112,7 @@
                 reply = frame.encode_datagram(datagram.nonce, load)
                 await socket.sendto(reply, host, port)
 
-    async def tell(rate_per_s: float, body: Any) -> None:
+    async def send_periodically(rate_per_s: float, body: Any) -> None:
         while True:
             await anyio.sleep(source.expovariate(rate_per_s))
             data = frame.encode_datagram(1, body())
@@ -125,9 +125,11 @@
             )
             sockets.append(socket)
             tasks.start_soon(answer, socket)
-        tasks.start_soon(tell, 1.0, lambda: frame.Digest(1, False, ()))
+        tasks.start_soon(
+            send_periodically, 1.0, lambda: frame.Digest(1, False, ())
+        )
         probe = functools.partial(frame.Probe, "adapter-1@1", 1)
-        tasks.start_soon(tell, PROBES_PER_S, probe)
+        tasks.start_soon(send_periodically, PROBES_PER_S, probe)
         await tasks.start(objects_lib.run, PLATFORM_HOST, PORT)
         behaviour = engine_lib.EngineSettings()
         await tasks.start(engine_lib.run, behaviour, ENGINE_HOST, PORT)
@@ -180,17 +182,19 @@
 
     def read(self) -> dict[str, float]:
         """Returns the rates since the start."""
-        took_s = time.monotonic() - self.at_s
+        elapsed_s = time.monotonic() - self.at_s
         bytes_now = self.control.bytes_sent + self.control.bytes_received
         return {
-            "cpu_share": (time.process_time() - self.cpu_s) / took_s,
-            "bytes_per_s": (bytes_now - self.bytes) / took_s,
-            "store_calls_per_s": (self._calls() - self.calls) / took_s,
+            "cpu_share": (time.process_time() - self.cpu_s) / elapsed_s,
+            "bytes_per_s": (bytes_now - self.bytes) / elapsed_s,
+            "store_calls_per_s": (self._calls() - self.calls) / elapsed_s,
             "resident_mib": psutil.Process().memory_info().rss / MIB,
         }
 
 
-async def _change(configuration: configuration_lib.Configuration) -> None:
+async def _apply_commits(
+    configuration: configuration_lib.Configuration,
+) -> None:
     """Takes commits at the big size's rate, as a peer would push them."""
     source = random.Random(2)
     while True:
@@ -235,19 +239,19 @@
         tasks.start_soon(entry.configuration_gossip.run)
         tasks.start_soon(entry.forget)
         tasks.start_soon(entry.watch_vms)
-        tasks.start_soon(_change, configuration)
+        tasks.start_soon(_apply_commits, configuration)
 
-        async def ask() -> None:
+        async def route_requests() -> None:
             while True:
                 await anyio.sleep(source.expovariate(REQUESTS_PER_S))
                 rank = min(adapters, int(source.paretovariate(0.2))) - 1
-                asked = resolve.RoutingFields(
+                fields = resolve.RoutingFields(
                     "", f"adapter-{rank}", "", "", "", {}
                 )
                 held = configuration.held
-                await entry.rank(resolve.resolve(asked, held), held)
+                await entry.rank(resolve.resolve(fields, held), held)
 
-        tasks.start_soon(ask)
+        tasks.start_soon(route_requests)
         await anyio.sleep(1.0)
         meter = Meter(control, metrics)
         await anyio.sleep(seconds)
@@ -271,7 +275,7 @@
         )
         document = make_document(peers, adapters)
         process.configuration.offer(holder_lib.Held(1, "w1", document))
-        tasks.start_soon(_change, process.configuration)
+        tasks.start_soon(_apply_commits, process.configuration)
         await anyio.sleep(1.0)
         meter = Meter(process.configuration_gossip.control, process.metrics)
         await anyio.sleep(seconds)
@@ -283,16 +287,16 @@
     role: str, peers: int, adapters: int, seconds: float
 ) -> dict[str, Any]:
     """Measures one role in a process of its own."""
-    fake = subprocess.Popen(
+    peer_process = subprocess.Popen(
         [sys.executable, "-m", "bench.control", "peers", str(peers)],
         stdout=subprocess.PIPE,
         text=True,
     )
     try:
-        fake.stdout.readline()
-        words = [role, str(peers), str(adapters), str(seconds)]
+        peer_process.stdout.readline()
+        arguments = [role, str(peers), str(adapters), str(seconds)]
         done = subprocess.run(
-            [sys.executable, "-m", "bench.control", "subject", *words],
+            [sys.executable, "-m", "bench.control", "subject", *arguments],
             capture_output=True,
             text=True,
             check=False,
@@ -301,8 +305,8 @@
             raise RuntimeError(done.stderr[-2000:])
         figures = json.loads(done.stdout.splitlines()[-1])
     finally:
-        fake.kill()
-        fake.wait()
+        peer_process.kill()
+        peer_process.wait()
     return {"role": role, "peers": peers, "adapters": adapters, **figures}
 
 
@@ -311,9 +315,9 @@
     xs = [row[by] for row in rows]
     ys = [row[figure] for row in rows]
     mean_x, mean_y = sum(xs) / len(xs), sum(ys) / len(ys)
-    over = sum((x - mean_x) ** 2 for x in xs)
+    sum_of_squares = sum((x - mean_x) ** 2 for x in xs)
     pairs = zip(xs, ys, strict=True)
-    return sum((x - mean_x) * (y - mean_y) for x, y in pairs) / over
+    return sum((x - mean_x) * (y - mean_y) for x, y in pairs) / sum_of_squares
 
 
 FIGURES = ("bytes_per_s", "cpu_share", "store_calls_per_s", "resident_mib")
@@ -326,7 +330,7 @@
     """Measures both roles by peers and by adapters."""
     if context.invoked_subcommand is not None:
         return
-    kept: dict[str, Any] = {"rows": [], "slopes": []}
+    results: dict[str, Any] = {"rows": [], "slopes": []}
     for role in ("entry", "target"):
         by_peers = [
             measure(role, peers, 2_000, seconds)
@@ -336,10 +340,10 @@
             measure(role, 100, adapters, seconds)
             for adapters in (500, 5_000, 35_000)
         ]
-        kept["rows"] += [*by_peers, *by_adapters]
+        results["rows"] += [*by_peers, *by_adapters]
         for by, rows in (("peers", by_peers), ("adapters", by_adapters)):
             for figure in FIGURES:
-                kept["slopes"].append(
+                results["slopes"].append(
                     (role, figure, by, slope(rows, by, figure))
                 )
     print(
@@ -347,13 +351,13 @@
             ("role", "peers", "adapters", *FIGURES),
             [
                 (r["role"], r["peers"], r["adapters"], *(r[f] for f in FIGURES))
-                for r in kept["rows"]
+                for r in results["rows"]
             ],
         )
     )
     print()
-    print(report.table(("role", "figure", "per", "slope"), kept["slopes"]))
-    print(f"\nkept in {report.keep('control', kept).name}")
+    print(report.table(("role", "figure", "per", "slope"), results["slopes"]))
+    print(f"\nkept in {report.save('control', results).name}")
 
 
 @main.command()
@@ -370,8 +374,8 @@
 @click.argument("seconds", type=float)
 def subject(role: str, peers: int, adapters: int, seconds: float) -> None:
     """Runs the process that is measured."""
-    work = run_entry if role == "entry" else run_target
-    anyio.run(work, peers, adapters, seconds)
+    run_role = run_entry if role == "entry" else run_target
+    anyio.run(run_role, peers, adapters, seconds)
 
 
 if __name__ == "__main__":
--- a/bench/day.py
+++ b/bench/day.py
@@ -20,10 +20,10 @@
 MIN_PRICE = 0.002
 # Reasons that differ in a number or an adapter only are counted together.
 REASON_LENGTH = 24
-MOST_REASONS = 30
+MAX_REASONS = 30
 
 
-def lines(path: pathlib.Path) -> Iterator[tuple[float, dict[str, Any]]]:
+def read_log(path: pathlib.Path) -> Iterator[tuple[float, dict[str, Any]]]:
     """Yields second and fields of each decision that was logged."""
     with path.open(encoding="utf-8") as file:
         for line in file:
@@ -38,7 +38,7 @@
                 continue
 
 
-def refusals(
+def count_failures(
     path: pathlib.Path,
 ) -> collections.Counter[tuple[int, int, str]]:
     """Counts requests that ended with a failure of ours.
@@ -50,7 +50,7 @@
         Counts by second, result code and beginning of the reason.
     """
     counts: collections.Counter[tuple[int, int, str]] = collections.Counter()
-    for second, fields in lines(path):
+    for second, fields in read_log(path):
         if fields.get("event") == "request" and fields.get("code"):
             reason = fields.get("reason", "")[:REASON_LENGTH]
             counts[int(second), fields["code"], reason] += 1
@@ -86,7 +86,7 @@
     causes = [[name, count] for name, count, _ in day["unserved_by"]]
     click.echo(report_lib.table(["not served", "requests"], causes))
     if log is not None:
-        found = refusals(log).most_common(MOST_REASONS)
+        found = count_failures(log).most_common(MAX_REASONS)
         reasons = [[*key, count] for key, count in sorted(found)]
         headings = ["second", "code", "reason", "requests"]
         click.echo(report_lib.table(headings, reasons))
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -262,11 +262,13 @@
             The figures.
         """
         started_s = time.process_time()
-        ask = self._make_policy(routing_settings, held)
+        submit_request = self._make_policy(routing_settings, held)
         if prepare is not None:
             prepare(self)
         for arrival in arrivals:
-            self.clock.after(arrival.at_ms, functools.partial(ask, arrival))
+            self.clock.after(
+                arrival.at_ms, functools.partial(submit_request, arrival)
+            )
         self.clock.run(self.workload.duration_ms + 60_000.0)
         return self._figures(time.process_time() - started_s)
 
@@ -291,15 +293,15 @@
             routing_settings=routing_settings,
         )
 
-        def ask(arrival: model.Arrival) -> None:
+        def submit_request(arrival: model.Arrival) -> None:
             measured = self._begin(arrival)
-            self.site.ask(
+            self.site.submit_request(
                 arrival,
                 functools.partial(self._first, arrival, measured),
                 functools.partial(self._done, arrival, measured),
             )
 
-        return ask
+        return submit_request
 
     def _make_baseline(self) -> Callable[[model.Arrival], None]:
         targets = {
@@ -317,7 +319,7 @@
         }[self.policy]
         names = {one.service: one.targets for one in self.workload.streams}
 
-        def ask(arrival: model.Arrival) -> None:
+        def submit_request(arrival: model.Arrival) -> None:
             measured = self._begin(arrival)
             target = targets[router(arrival, names[arrival.service])]
             target.submit(
@@ -326,11 +328,11 @@
                 functools.partial(self._done, arrival, measured, True),
             )
 
-        return ask
+        return submit_request
 
     def _begin(self, arrival: model.Arrival) -> bool:
         if self.measuring:
-            self.outcomes[arrival.service].asked += 1
+            self.outcomes[arrival.service].request_count += 1
         return self.measuring
 
     def _first(self, arrival: model.Arrival, measured: bool) -> None:
@@ -349,7 +351,7 @@
             return
         outcome = self.outcomes[arrival.service]
         outcome.answered += answered
-        outcome.refused += not answered
+        outcome.rejected += not answered
         outcome.late += answered and late
 
     def _figures(self, cpu_s: float) -> dict[str, Any]:
@@ -358,25 +360,31 @@
         busy_ms = sum(engine.busy_ms for engine in self.engines.values())
         best = self.workload.engine
         best_per_ms = best.max_batch / best.step_time_ms(best.max_batch)
-        asked = sum(one.asked for one in self.outcomes.values())
+        request_count = sum(one.request_count for one in self.outcomes.values())
         figures: dict[str, Any] = {
             "policy": self.policy,
-            "loads_per_1000": 1000 * self.weights.transfers / max(1, asked),
+            "loads_per_1000": 1000
+            * self.weights.transfers
+            / max(1, request_count),
             "mean_batch": tokens / max(1, steps),
             "batch_efficiency": tokens / max(1.0, busy_ms) / best_per_ms,
-            "cpu_us_per_request": cpu_s * 1e6 / max(1, asked),
+            "cpu_us_per_request": cpu_s * 1e6 / max(1, request_count),
         }
         if self.site is not None:
-            figures["tries_per_request"] = self.site.tries / max(1, asked)
-            figures["probes_per_request"] = self.site.probes / max(1, asked)
-            figures["refusals"] = self.site.refusals
+            figures["tries_per_request"] = self.site.attempt_count / max(
+                1, request_count
+            )
+            figures["probes_per_request"] = self.site.probes / max(
+                1, request_count
+            )
+            figures["refusals"] = self.site.rejections
         for service, one in self.outcomes.items():
-            count = max(1, one.asked)
+            count = max(1, one.request_count)
             figures[service] = {
-                "asked": one.asked,
+                "asked": one.request_count,
                 "stalled_share": one.stalled / count,
                 "stall_s_per_1000": one.stall_ms / count,
-                "refused_share": one.refused / count,
+                "refused_share": one.rejected / count,
                 "late_share": one.late / count,
                 "first_p50_ms": report.median(one.first_ms),
                 "first_p95_ms": report.percentile(one.first_ms, 0.95),
@@ -397,7 +405,7 @@
     ]
 
 
-def show(workload: Workload, rows: list[dict[str, Any]]) -> None:
+def print_comparison(workload: Workload, rows: list[dict[str, Any]]) -> None:
     """Prints the comparison, one table per service."""
     for stream in workload.streams:
         print(f"\n{workload.name}: {stream.service}")
@@ -466,8 +474,8 @@
     """Compares the shipped decisions with baselines and an oracle."""
     for name in names or tuple(WORKLOADS):
         rows = compare(WORKLOADS[name], seed)
-        show(WORKLOADS[name], rows)
-        print(f"kept in {report.keep(f'decisions-{name}', rows).name}")
+        print_comparison(WORKLOADS[name], rows)
+        print(f"kept in {report.save(f'decisions-{name}', rows).name}")
 
 
 if __name__ == "__main__":
--- a/bench/model.py
+++ b/bench/model.py
@@ -105,7 +105,7 @@
         else:
             self._stepping = False
 
-    def cut(self) -> None:
+    def drop_sequences(self) -> None:
         """Drops all sequences, as a restart does."""
         self._ends.clear()
         self.running = 0
@@ -257,9 +257,9 @@
         first_ms: Time to the first token of each answered request.
     """
 
-    asked: int = 0
+    request_count: int = 0
     answered: int = 0
-    refused: int = 0
+    rejected: int = 0
     late: int = 0
     stalled: int = 0
     stall_ms: float = 0.0
--- a/bench/path.py
+++ b/bench/path.py
@@ -167,7 +167,7 @@
         for model in (f"{name}@1" for name in fixtures.ADAPTERS[:engines]):
             answer = site.complete("entry-1", model, "warm", max_tokens=1)
             homes[model] = answer.headers["x-radishstack-target"]
-        behind = [site.hosts[f"{homes[model]}-behind"] for model in homes]
+        engine_hosts = [site.hosts[f"{homes[model]}-behind"] for model in homes]
         load = {
             "rate_per_s": rate_per_s,
             "tokens": tokens,
@@ -177,22 +177,22 @@
         async def run(hosts: list[str], models: list[str]) -> Samples:
             return await drive(hosts, models, **load)
 
-        direct = anyio.run(run, behind, list(homes))
+        direct = anyio.run(run, engine_hosts, list(homes))
         before = cpu_s(site, ["entry-1"]), cpu_s(site, targets)
         path = anyio.run(run, [site.hosts["entry-1"]], list(homes))
         after = cpu_s(site, ["entry-1"]), cpu_s(site, targets)
         requests = int(rate_per_s * duration_s)
-        through = _summary(path, requests)
+        proxied = _summary(path, requests)
         for index, name in enumerate(("entry", "target")):
             used_s = after[index] - before[index]
-            through[f"{name}_cpu_us_per_token"] = (
+            proxied[f"{name}_cpu_us_per_token"] = (
                 used_s * US_PER_S / max(1, path.tokens)
             )
-            through[f"{name}_cpu_ms_per_request"] = used_s * MS_PER_S / requests
-        through["entry_idle_mib"] = idle_mib
-        through["entry_busy_mib"] = resident_mib(site, "entry-1")
-        through["target_busy_mib"] = resident_mib(site, targets[0])
-        return {"direct": _summary(direct, requests), "path": through}
+            proxied[f"{name}_cpu_ms_per_request"] = used_s * MS_PER_S / requests
+        proxied["entry_idle_mib"] = idle_mib
+        proxied["entry_busy_mib"] = resident_mib(site, "entry-1")
+        proxied["target_busy_mib"] = resident_mib(site, targets[0])
+        return {"direct": _summary(direct, requests), "path": proxied}
 
 
 def show(name: str, figures: dict[str, dict[str, float]]) -> None:
@@ -210,14 +210,14 @@
 @click.option("--seconds", default=15.0, show_default=True)
 def main(seconds: float) -> None:
     """Measures the path at a big-size entry's load and with short answers."""
-    kept = {}
+    results = {}
     for name, load in [
         ("stream", {"rate_per_s": 14.0, "tokens": 328, "engines": 6}),
         ("short", {"rate_per_s": 60.0, "tokens": 4, "engines": 4}),
     ]:
-        kept[name] = measure(duration_s=seconds, **load)
-        show(f"{name}: {load}", kept[name])
-    print(f"\nkept in {report.keep('path', kept).name}")
+        results[name] = measure(duration_s=seconds, **load)
+        show(f"{name}: {load}", results[name])
+    print(f"\nkept in {report.save('path', results).name}")
 
 
 if __name__ == "__main__":
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -141,12 +141,12 @@
 
 async def _until_ready(process: subprocess.Popen[bytes]) -> None:
     with anyio.fail_after(READY_LIMIT_S):
-        while not (await _answers(STREAM) and await _answers(PLAIN)):
+        while not (await _is_served(STREAM) and await _is_served(PLAIN)):
             assert process.poll() is None, "the gateway ended"
             await anyio.sleep(POLL_S)
 
 
-async def _answers(load: Load) -> bool:
+async def _is_served(load: Load) -> bool:
     address = f"{GATEWAY_HOST}:8140"
     connection = await http_client.open_connection(address, 2_000)
     if isinstance(connection, http_client.Lost):
@@ -185,10 +185,10 @@
         store.put("servers", "i-engine", listed)
         listed = plain.listing(platform_site.PLAIN, PLAIN.target, "north")
         store.put("servers", "i-plain", listed)
-        with _processes() as running:
+        with _run_daemons() as running:
             await _until_ready(running["gateway"])
             for load in (PLAIN, STREAM):
-                figures[load.name] = await _one(load, count, running)
+                figures[load.name] = await _measure_load(load, count, running)
             for name, process in running.items():
                 memory = psutil.Process(process.pid).memory_info().rss
                 figures[f"{name}_mib"] = round(memory / 2**20, 1)
@@ -203,15 +203,15 @@
     return figures
 
 
-async def _one(
+async def _measure_load(
     load: Load, count: int, running: dict[str, subprocess.Popen[bytes]]
 ) -> dict[str, Any]:
     direct_ms = await _drive(load.target, load, count)
     before = {name: _cpu_s(process) for name, process in running.items()}
-    through_ms = await _drive(f"{GATEWAY_HOST}:8140", load, count)
+    proxied_ms = await _drive(f"{GATEWAY_HOST}:8140", load, count)
     figures: dict[str, Any] = {
         "direct_first_byte_p50_ms": round(statistics.median(direct_ms), 2),
-        "through_first_byte_p50_ms": round(statistics.median(through_ms), 2),
+        "through_first_byte_p50_ms": round(statistics.median(proxied_ms), 2),
     }
     for name, process in running.items():
         used_us = (_cpu_s(process) - before[name]) * US_PER_S
@@ -220,7 +220,7 @@
 
 
 @contextlib.contextmanager
-def _processes() -> Any:
+def _run_daemons() -> Any:
     with tempfile.TemporaryDirectory() as folder:
         running = {}
         try:
--- a/bench/rate_limits.py
+++ b/bench/rate_limits.py
@@ -38,10 +38,10 @@
 
 
 SCENARIOS = tuple(
-    Scenario(gateway_count, limit_per_s, demand_part * limit_per_s)
+    Scenario(gateway_count, limit_per_s, demand_fraction * limit_per_s)
     for gateway_count in (6, 21, 390)
     for limit_per_s in (0.5, 4.0, 6.4, 40.0)
-    for demand_part in (1.0, 4.0, 20.0)
+    for demand_fraction in (1.0, 4.0, 20.0)
 )
 
 
@@ -69,7 +69,9 @@
 }
 
 
-def play(policy: Policy, scenario: Scenario, seconds: int) -> dict[str, float]:
+def simulate(
+    policy: Policy, scenario: Scenario, seconds: int
+) -> dict[str, float]:
     """Plays a scenario with one policy.
 
     Args:
@@ -108,7 +110,7 @@
     for scenario in SCENARIOS:
         row: list[object] = list(dataclasses.astuple(scenario))
         for name, policy in POLICIES.items():
-            figures = play(policy, scenario, seconds)
+            figures = simulate(policy, scenario, seconds)
             results[f"{name}/{'/'.join(map(str, row[:3]))}"] = figures
             row += [figures["worst"], figures["used"]]
         rows.append(row)
@@ -116,7 +118,7 @@
     for name in POLICIES:
         headings += [f"{name}: worst", "used"]
     print(report.table(headings, rows))
-    report.keep("rate-limits", results)
+    report.save("rate-limits", results)
 
 
 if __name__ == "__main__":
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -56,14 +56,14 @@
 Prepare = Callable[[decisions.Run], None]
 
 
-def _cold_engine(run: decisions.Run) -> None:
+def _restart_engine(run: decisions.Run) -> None:
     def restart() -> None:
         run.site.targets["assistant-1"].restart_engine()
 
     run.clock.after(FAULT_AT_MS, restart)
 
 
-def _all_cold(run: decisions.Run) -> None:
+def _restart_all_engines(run: decisions.Run) -> None:
     def restart() -> None:
         for target in run.site.targets.values():
             target.restart_engine()
@@ -71,8 +71,8 @@
     run.clock.after(FAULT_AT_MS, restart)
 
 
-def _leave(run: decisions.Run, names: tuple[str, ...]) -> None:
-    def leave() -> None:
+def _drain_and_replace(run: decisions.Run, names: tuple[str, ...]) -> None:
+    def drain() -> None:
         for name in names:
             run.site.targets[name].feed(event_lib.DrainRequested())
 
@@ -84,24 +84,24 @@
             for router in run.site.routers:
                 router.observations.pop(name, None)
 
-    run.clock.after(FAULT_AT_MS, leave)
+    run.clock.after(FAULT_AT_MS, drain)
     run.clock.after(BACK_AT_MS, replace)
 
 
-def _one_leaves(run: decisions.Run) -> None:
-    _leave(run, ("assistant-1",))
+def _drain_one(run: decisions.Run) -> None:
+    _drain_and_replace(run, ("assistant-1",))
 
 
-def _domain_leaves(run: decisions.Run) -> None:
-    _leave(run, ("assistant-1", "assistant-2", "counter-1"))
+def _drain_domain(run: decisions.Run) -> None:
+    _drain_and_replace(run, ("assistant-1", "assistant-2", "counter-1"))
 
 
 SCENARIOS: dict[str, tuple[decisions.Workload, Prepare | None]] = {
     "nothing": (BASE, None),
-    "one engine restarts cold": (BASE, _cold_engine),
-    "all engines restart cold": (BASE, _all_cold),
-    "one of nine targets leaves for 60 s": (BASE, _one_leaves),
-    "a failure domain leaves for 60 s": (BASE, _domain_leaves),
+    "one engine restarts cold": (BASE, _restart_engine),
+    "all engines restart cold": (BASE, _restart_all_engines),
+    "one of nine targets leaves for 60 s": (BASE, _drain_one),
+    "a failure domain leaves for 60 s": (BASE, _drain_domain),
     "ten cold adapters become the busiest": (SHIFTED, None),
 }
 
@@ -145,7 +145,7 @@
         "lost": lost,
         "stalls_normal_after_s": _back_to_normal_s(stalls),
         "lost_total": sum(lost[int(FAULT_AT_MS / BIN_MS) :]),
-        "tries_per_request": run.site.tries / len(arrivals),
+        "tries_per_request": run.site.attempt_count / len(arrivals),
         "loads_per_1000": figures["loads_per_1000"],
         "table_stall": figures["counter"]["stall_s_per_1000"],
     }
@@ -227,8 +227,8 @@
     print()
     print(report.table(keys, [[row[key] for key in keys] for row in frontier]))
     draw_frontier(frontier)
-    kept = {"recovery": rows, "frontier": frontier}
-    print(f"\nkept in {report.keep('recovery', kept).name}")
+    results = {"recovery": rows, "frontier": frontier}
+    print(f"\nkept in {report.save('recovery', results).name}")
 
 
 if __name__ == "__main__":
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -34,23 +34,23 @@
 SERVICE = "assistants"
 LINK_MS = 1.0
 # The daemons' own intervals, as in ``radishd.gateway`` and ``.sidecar``.
-HURRY_MS = 15.0
-DEMAND_EVERY_MS = 400.0
-TELL_EVERY_MS = 200.0
+URGENT_UPDATE_DELAY_MS = 15.0
+DEMAND_INTERVAL_MS = 400.0
+STATUS_INTERVAL_MS = 200.0
 ORDER_MS = 2.0
 # How long the platform's list lags behind a start of an engine.
-LIST_LAG_MS = 1_000.0
+DISCOVERY_LAG_MS = 1_000.0
 WINDOW_MS = 2_000.0
-LATE_PART = 0.3
-RETRY_PART = 3
+LATE_WORTH_FRACTION = 0.3
+RETRY_PAUSE_DIVISOR = 3
 SHED_RETRY_MS = (30, 150)
 # What one fetch from the weight store costs, in worth of a request.
-FETCH_PRICE = 0.32
+FETCH_COST = 0.32
 WARM_UP_MS = 4_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
     Attributes:
@@ -78,15 +78,15 @@
     rank: int
 
 
-CHAT = Kind("chat", 106, 646, 0.8, 70, 1.0, 800, 5_000, 2.0, 1)
-QUERY = Kind("query", 6.3, 646, 0.8, 70, 1.0, 1_000, 12_000, 2.0, 1)
-SUMMARY = Kind("summary", 2.4, 9_190, 0.6, 52, 1.0, 1_000, 5_000, 5.3, 3)
+CHAT = RequestKind("chat", 106, 646, 0.8, 70, 1.0, 800, 5_000, 2.0, 1)
+QUERY = RequestKind("query", 6.3, 646, 0.8, 70, 1.0, 1_000, 12_000, 2.0, 1)
+SUMMARY = RequestKind("summary", 2.4, 9_190, 0.6, 52, 1.0, 1_000, 5_000, 5.3, 3)
 KINDS = (CHAT, QUERY, SUMMARY)
 # A plant's: long streams before slow engines, with long time limits.
 PLANT_KINDS = (
-    Kind("inspection", 23.3, 1_460, 0.8, 171, 0.8, 800, 15_000, 1.9, 2),
-    Kind("defects", 3.2, 1_460, 0.8, 171, 0.8, 1_000, 20_000, 1.9, 2),
-    Kind("pinout", 13.9, 646, 0.8, 69, 1.0, 600, 8_000, 1.4, 1),
+    RequestKind("inspection", 23.3, 1_460, 0.8, 171, 0.8, 800, 15_000, 1.9, 2),
+    RequestKind("defects", 3.2, 1_460, 0.8, 171, 0.8, 1_000, 20_000, 1.9, 2),
+    RequestKind("pinout", 13.9, 646, 0.8, 69, 1.0, 600, 8_000, 1.4, 1),
 )
 PLANT_SPEEDS = batching.Speeds(
     step_ms=10.1,
@@ -94,8 +94,8 @@
     prompt_tokens_per_ms=20.4,
     chunk_tokens=1_024,
     event_tokens=3,
-    place_count=21,
-    memory_count=126,
+    slot_count=21,
+    host_cache_count=126,
     base_load_ms=1_100.0,
 )
 
@@ -127,7 +127,7 @@
     burst: tuple[float, float, float] = (0.0, 0.0, 1.0)
     shift_every_ms: float = 0.0
     restart_at_ms: float = 0.0
-    kinds: tuple[Kind, ...] = KINDS
+    kinds: tuple[RequestKind, ...] = KINDS
     speeds: batching.Speeds = batching.Speeds()
 
 
@@ -151,7 +151,7 @@
     """One request of a caller."""
 
     at_ms: float
-    kind: Kind
+    kind: RequestKind
     adapter: str
     prompt_tokens: int
     tokens: int
@@ -219,7 +219,7 @@
         retries: Further attempts that it makes.
         first_ms: When it got its first event, 0 if not.
         ended: Whether its answer is whole.
-        refused: Refusals that it got.
+        rejections: Number of its rejected attempts.
         failed: Whether an answer was lost, or not whole in time.
     """
 
@@ -228,7 +228,7 @@
     retries: int = 1
     first_ms: float = 0.0
     ended: bool = False
-    refused: int = 0
+    rejections: int = 0
     failed: bool = False
 
     def worth(self) -> float:
@@ -236,7 +236,11 @@
         if not self.ended:
             return 0.0
         took_ms = self.first_ms - self.arrival.at_ms
-        return 1.0 if took_ms <= self.arrival.kind.objective_ms else LATE_PART
+        return (
+            1.0
+            if took_ms <= self.arrival.kind.objective_ms
+            else LATE_WORTH_FRACTION
+        )
 
 
 class Sidecar:
@@ -247,22 +251,22 @@
         self.fleet = fleet
         self.engine = engine
         self.keeper = fleet.policy.make_keeper()
-        self.keeper.adapter_limit = engine.speeds.place_count
+        self.keeper.adapter_limit = engine.speeds.slot_count
         self.keeper.base_models = (batching.BASE,)
         self._instance = engine.instance
-        self._told: Any = None
-        self._told_at_ms = -TELL_EVERY_MS
-        self._round_number = 0
-        fleet.clock.after(0, self._round)
+        self._last_sent: Any = None
+        self._last_sent_at_ms = -STATUS_INTERVAL_MS
+        self._reconcile_count = 0
+        fleet.clock.after(0, self._reconcile)
 
     def handle_update(self, demand: adapter_keeper.Demand) -> None:
         """Takes a gateway's demand."""
         if self.keeper.handle_update(demand, self.fleet.now_ms):
-            self._round()
+            self._reconcile()
 
-    def _round(self) -> None:
-        self._round_number += 1
-        number = self._round_number
+    def _reconcile(self) -> None:
+        self._reconcile_count += 1
+        number = self._reconcile_count
         report_ = self.engine.report()
         if report_ is None or self._instance != self.engine.instance:
             self._instance = self.engine.instance
@@ -279,26 +283,26 @@
             if adapter_keeper.is_base(order.adapter):
                 break
             report_ = self.engine.report()
-        self._tell()
-        look_ms = self.keeper.next_poll_ms(self.fleet.now_ms)
+        self._send_update()
+        poll_ms = self.keeper.next_poll_ms(self.fleet.now_ms)
 
         def again() -> None:
-            if number == self._round_number:
-                self._round()
+            if number == self._reconcile_count:
+                self._reconcile()
 
-        self.fleet.clock.after(look_ms + took_ms, again)
+        self.fleet.clock.after(poll_ms + took_ms, again)
 
-    def _tell(self) -> None:
+    def _send_update(self) -> None:
         report_ = self.engine.report()
         if report_ is None:
             return
         now_ms = self.fleet.now_ms
         pending = self.keeper.pending(now_ms)
-        told = (self._instance, dict(report_.residents))
-        regular = now_ms - self._told_at_ms >= TELL_EVERY_MS
-        if told == self._told and not regular:
+        current = (self._instance, dict(report_.residents))
+        interval_elapsed = now_ms - self._last_sent_at_ms >= STATUS_INTERVAL_MS
+        if current == self._last_sent and not interval_elapsed:
             return
-        self._told, self._told_at_ms = told, now_ms
+        self._last_sent, self._last_sent_at_ms = current, now_ms
         load_wait = self.keeper.load_wait(now_ms)
         for gateway in self.fleet.gateways:
             self.fleet.clock.after(
@@ -310,11 +314,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiter:
+class _WaitingRequest:
     caller: Caller
     waiting: waiting_lib.AdapterWait
     due_at_ms: int
-    turn: int = 0
+    decision_number: int = 0
     home: roster_lib.Member | None = None
 
 
@@ -328,15 +332,15 @@
         self.random = random.Random(f"{fleet.seed}/{name}")
         self.roster = roster_lib.Roster(2_500)
         self.placement = fleet.policy.make_placement(self)
-        self.books: dict[str, demand_table.DemandTable] = {}
-        self.waiters: dict[int, _Waiter] = {}
-        self._hurried: dict[str, roster_lib.Member] = {}
+        self.demand_tables: dict[str, demand_table.DemandTable] = {}
+        self.waiters: dict[int, _WaitingRequest] = {}
+        self._urgent_members: dict[str, roster_lib.Member] = {}
         for engine in fleet.engines:
-            self.list(engine)
-        spread_ms = self.random.uniform(0, DEMAND_EVERY_MS)
-        fleet.clock.after(spread_ms, self._tell_all)
+            self.add_engine(engine)
+        spread_ms = self.random.uniform(0, DEMAND_INTERVAL_MS)
+        fleet.clock.after(spread_ms, self._send_all_updates)
 
-    def list(self, engine: batching.Engine) -> None:
+    def add_engine(self, engine: batching.Engine) -> None:
         """Takes an engine's entry of the platform's list."""
         address = f"{engine.name}:80"
         self.roster.upsert(
@@ -347,27 +351,29 @@
                 "",
                 False,
                 engine.speeds.max_batch,
-                listed_at=engine.starts,
+                listed_at=engine.incarnation,
             )
         )
 
-    def _book(self, member: roster_lib.Member) -> demand_table.DemandTable:
-        return self.books.setdefault(
+    def _demand_table(
+        self, member: roster_lib.Member
+    ) -> demand_table.DemandTable:
+        return self.demand_tables.setdefault(
             member.listing.address, demand_table.DemandTable()
         )
 
-    def _tell_all(self) -> None:
+    def _send_all_updates(self) -> None:
         for member in self.roster.members.values():
-            self._tell(member)
-        self.fleet.clock.after(DEMAND_EVERY_MS, self._tell_all)
+            self._send_update(member)
+        self.fleet.clock.after(DEMAND_INTERVAL_MS, self._send_all_updates)
 
-    def _tell(self, member: roster_lib.Member) -> None:
+    def _send_update(self, member: roster_lib.Member) -> None:
         if member.gone:
             return
-        uses, wants = self._book(member).take(self.fleet.now_ms)
+        uses, load_requests = self._demand_table(member).take(self.fleet.now_ms)
         instance = member.listing.instance
         demand = adapter_keeper.Demand(
-            self.name, instance, 0, (), uses, wants, {}
+            self.name, instance, 0, (), uses, load_requests, {}
         )
         sidecar = self.fleet.sidecar_of(instance)
         if sidecar is not None:
@@ -375,15 +381,15 @@
                 LINK_MS, lambda: sidecar.handle_update(demand)
             )
 
-    def _hurry(self, member: roster_lib.Member) -> None:
-        if not self._hurried:
-            self.fleet.clock.after(HURRY_MS, self._tell_hurried)
-        self._hurried[member.listing.instance] = member
+    def _schedule_update(self, member: roster_lib.Member) -> None:
+        if not self._urgent_members:
+            self.fleet.clock.after(URGENT_UPDATE_DELAY_MS, self._send_urgent)
+        self._urgent_members[member.listing.instance] = member
 
-    def _tell_hurried(self) -> None:
-        hurried, self._hurried = self._hurried, {}
-        for member in hurried.values():
-            self._tell(member)
+    def _send_urgent(self) -> None:
+        members, self._urgent_members = self._urgent_members, {}
+        for member in members.values():
+            self._send_update(member)
 
     def handle_update(
         self,
@@ -411,9 +417,9 @@
         self.placement.handle_update(address, view)
         if before is None or before.residents != view.residents:
             for number in list(self.waiters):
-                self._look(number)
+                self._decide(number)
 
-    def take(self, caller: Caller) -> None:
+    def submit(self, caller: Caller) -> None:
         """Takes one attempt of a caller."""
         now_ms = self.fleet.now_ms
         number = next(self.fleet.numbers)
@@ -428,10 +434,10 @@
             begun=False,
             random_source=self.random,
         )
-        self.waiters[number] = _Waiter(caller, waiting, due_at_ms)
-        self._look(number)
+        self.waiters[number] = _WaitingRequest(caller, waiting, due_at_ms)
+        self._decide(number)
 
-    def _look(self, number: int) -> None:
+    def _decide(self, number: int) -> None:
         waiter = self.waiters.get(number)
         if waiter is None:
             return
@@ -439,28 +445,28 @@
         caller = waiter.caller
         adapter = caller.arrival.adapter
         if now_ms >= caller.deadline_ms:
-            self._unwish(waiter, adapter)
+            self._withdraw_load_request(waiter, adapter)
             del self.waiters[number]
             return
         usable = self.roster.usable(SERVICE, now_ms)
         choice = self.placement.choose(
             adapter, usable, now_ms, waiter.waiting.patience(round(now_ms))
         )
-        self._wish(waiter, choice, adapter)
+        self._update_load_request(waiter, choice, adapter)
         step = waiter.waiting.decide(
             choice, any_usable=bool(usable), now_ms=now_ms
         )
-        waiter.turn += 1
-        turn = waiter.turn
+        waiter.decision_number += 1
+        decision_number = waiter.decision_number
         if isinstance(step, waiting_lib.Wait):
 
             def again() -> None:
-                if waiter.turn == turn:
-                    self._look(number)
+                if waiter.decision_number == decision_number:
+                    self._decide(number)
 
             self.fleet.clock.after(step.pause_ms, again)
             return
-        self._unwish(waiter, adapter)
+        self._withdraw_load_request(waiter, adapter)
         del self.waiters[number]
         if isinstance(step, waiting_lib.Send):
             self._send(caller, step.member)
@@ -468,51 +474,56 @@
         retry_after_ms = self.random.uniform(*SHED_RETRY_MS)
         if isinstance(step, result.Failure) and step.retry_after_ms:
             retry_after_ms = step.retry_after_ms
-        self.fleet.refused(caller, retry_after_ms)
+        self.fleet.handle_rejection(caller, retry_after_ms)
 
-    def _wish(
-        self, waiter: _Waiter, choice: placement_lib.Choice, adapter: str
+    def _update_load_request(
+        self,
+        waiter: _WaitingRequest,
+        choice: placement_lib.Choice,
+        adapter: str,
     ) -> None:
         member = choice.load
         if choice.send is not None:
             if member is not None:
                 self.placement.record_load_request(member, adapter)
-                if self._book(member).request_copy(
+                if self._demand_table(member).request_copy(
                     adapter, 0, self.fleet.now_ms
                 ):
-                    self._hurry(member)
+                    self._schedule_update(member)
             return
         if member is waiter.home:
             return
-        self._unwish(waiter, adapter)
+        self._withdraw_load_request(waiter, adapter)
         waiter.home = member
         if member is not None:
             self.placement.record_load_request(member, adapter)
-            if self._book(member).wait(adapter, 0, waiter.due_at_ms):
-                self._tell(member)
+            if self._demand_table(member).wait(adapter, 0, waiter.due_at_ms):
+                self._send_update(member)
             else:
-                self._hurry(member)
+                self._schedule_update(member)
 
-    def _unwish(self, waiter: _Waiter, adapter: str) -> None:
+    def _withdraw_load_request(
+        self, waiter: _WaitingRequest, adapter: str
+    ) -> None:
         home, waiter.home = waiter.home, None
         if home is None:
             return
-        if self._book(home).stop_waiting(adapter, waiter.due_at_ms):
-            self._hurry(home)
+        if self._demand_table(home).stop_waiting(adapter, waiter.due_at_ms):
+            self._schedule_update(home)
 
     def _send(self, caller: Caller, member: roster_lib.Member) -> None:
         clock = self.fleet.clock
         adapter = caller.arrival.adapter
         sent_at_ms = self.fleet.now_ms
         member.health.in_flight += 1
-        self._book(member).began(adapter)
+        self._demand_table(member).began(adapter)
 
         def settle() -> None:
             member.health.in_flight -= 1
-            idle = self._book(member).ended(adapter)
+            idle = self._demand_table(member).ended(adapter)
             view = self.placement.view_of(member)
             if idle and view is not None and view.pending:
-                self._hurry(member)
+                self._schedule_update(member)
 
         def first() -> None:
             if not caller.first_ms:
@@ -544,7 +555,7 @@
         def arrive() -> None:
             engine = self.fleet.engine_at(member.listing.instance)
             if engine is not None and engine.submit(sequence):
-                clock.after(caller.deadline_ms - clock.now_ms, leave)
+                clock.after(caller.deadline_ms - clock.now_ms, disconnect)
                 return
             settle()
             now_ms = self.fleet.now_ms
@@ -552,9 +563,9 @@
                 self.roster.unreachable(member.listing.instance, now_ms)
             else:
                 self.placement.mark_absent(member, adapter)
-            self.take(caller)
+            self.submit(caller)
 
-        def leave() -> None:
+        def disconnect() -> None:
             if caller.ended or caller.failed or sequence.cancelled:
                 return
             sequence.cancelled = True
@@ -603,18 +614,18 @@
                 return sidecar
         return None
 
-    def refused(self, caller: Caller, retry_after_ms: float) -> None:
+    def handle_rejection(self, caller: Caller, retry_after_ms: float) -> None:
         """Takes a refusal: the caller is back later, if it comes again."""
-        caller.refused += 1
+        caller.rejections += 1
         left_ms = caller.deadline_ms - self.clock.now_ms
         if not caller.retries or left_ms <= 0:
             return
         caller.retries -= 1
-        pause_ms = min(retry_after_ms, left_ms / RETRY_PART)
+        pause_ms = min(retry_after_ms, left_ms / RETRY_PAUSE_DIVISOR)
         gateway = self.random.choice(self.gateways)
-        self.clock.after(pause_ms, lambda: gateway.take(caller))
+        self.clock.after(pause_ms, lambda: gateway.submit(caller))
 
-    def play(self, arrivals: Iterable[Arrival]) -> None:
+    def simulate(self, arrivals: Iterable[Arrival]) -> None:
         """Plays all arrivals, and what follows them."""
         for arrival in arrivals:
             caller = Caller(arrival, arrival.at_ms + arrival.kind.timeout_ms)
@@ -622,7 +633,7 @@
             gateway = self.random.choice(self.gateways)
             self.clock.after(
                 arrival.at_ms,
-                lambda gateway=gateway, caller=caller: gateway.take(caller),
+                lambda gateway=gateway, caller=caller: gateway.submit(caller),
             )
         if self.load.restart_at_ms:
             self.clock.after(self.load.restart_at_ms, self._restart_all)
@@ -634,9 +645,9 @@
 
             def listed(engine: batching.Engine = engine) -> None:
                 for gateway in self.gateways:
-                    gateway.list(engine)
+                    gateway.add_engine(engine)
 
-            self.clock.after(model.MS_PER_S + LIST_LAG_MS, listed)
+            self.clock.after(model.MS_PER_S + DISCOVERY_LAG_MS, listed)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -688,7 +699,7 @@
     fetches = sum(engine.fetches for engine in fleet.engines)
     due = sum(one.arrival.kind.worth for one in fleet.callers)
     worth = 0.55 * whole + 0.25 * worst + 0.2 * kind
-    worth -= FETCH_PRICE * fetches / due
+    worth -= FETCH_COST * fetches / due
     served = sum(one.ended for one in callers) / len(callers)
     failed = sum(one.failed for one in callers) / len(callers)
     return Score(
@@ -712,29 +723,31 @@
         candidates: list[roster_lib.Member],
         now_ms: int,
     ) -> placement_lib.Choice:
-        heard = [one for one in candidates if self.view_of(one) is not None]
-        if not heard:
+        with_status = [
+            one for one in candidates if self.view_of(one) is not None
+        ]
+        if not with_status:
             return placement_lib.Choice(None, None)
-        member = self._pick(adapter, heard, now_ms)
+        member = self._pick(adapter, with_status, now_ms)
         if adapter in self.view_of(member).residents:
             return placement_lib.Choice(member, None)
         return placement_lib.Choice(None, member)
 
     def _pick(
-        self, adapter: str, heard: list[roster_lib.Member], now_ms: int
+        self, adapter: str, with_status: list[roster_lib.Member], now_ms: int
     ) -> roster_lib.Member:
         del adapter
-        return min(heard, key=lambda one: self._queueing_ms(one, now_ms))
+        return min(with_status, key=lambda one: self._queueing_ms(one, now_ms))
 
 
 class _Hashing(_LeastLoaded):
     """Sends each adapter to its one place."""
 
     def _pick(
-        self, adapter: str, heard: list[roster_lib.Member], now_ms: int
+        self, adapter: str, with_status: list[roster_lib.Member], now_ms: int
     ) -> roster_lib.Member:
         del now_ms
-        by_name = {one.listing.address: one for one in heard}
+        by_name = {one.listing.address: one for one in with_status}
         return by_name[rendezvous.first(adapter, by_name)]
 
 
@@ -755,10 +768,12 @@
         loads = {}
         for member in candidates:
             engine = self._fleet.engine_at(member.listing.instance)
-            word = engine.report() if engine is not None else None
-            if word is not None and word.residents:
+            status = engine.report() if engine is not None else None
+            if status is not None and status.residents:
                 loads[member.listing.instance] = (
-                    word.running + word.queued + member.health.in_flight * 0.01
+                    status.running
+                    + status.queued
+                    + member.health.in_flight * 0.01
                 )
         if not loads:
             return placement_lib.Choice(None, None)
@@ -766,14 +781,14 @@
         return placement_lib.Choice(best, None)
 
 
-class _Holdings(set[str]):
+class _AllAdapters(set[str]):
     """The holdings of an engine that has everything."""
 
     def __contains__(self, adapter: object) -> bool:
         return bool(len(self)) or adapter == batching.BASE
 
 
-class _LeastRecent:
+class _ConstantPopularity:
     """A popularity that knows nothing, so that the last use decides."""
 
     def touch(self, adapter: str, now_ms: int) -> None:
@@ -787,19 +802,19 @@
 
 def _lru_keeper() -> adapter_keeper.Keeper:
     keeper = adapter_keeper.Keeper()
-    keeper.popularity = _LeastRecent()
+    keeper.popularity = _ConstantPopularity()
     return keeper
 
 
-def _engine_with_all(
+def _make_full_engine(
     clock: model.Clock, name: str, speeds: batching.Speeds
 ) -> batching.Engine:
     engine = batching.Engine(clock, speeds, name)
-    engine.residents = _Holdings(engine.residents)
+    engine.residents = _AllAdapters(engine.residents)
     return engine
 
 
-def _engine(
+def _make_engine(
     clock: model.Clock, name: str, speeds: batching.Speeds
 ) -> batching.Engine:
     return batching.Engine(clock, speeds, name)
@@ -814,7 +829,7 @@
     make_keeper: Callable[[], adapter_keeper.Keeper] = adapter_keeper.Keeper
     make_engine: Callable[
         [model.Clock, str, batching.Speeds], batching.Engine
-    ] = _engine
+    ] = _make_engine
 
 
 POLICIES = {
@@ -834,16 +849,16 @@
             lambda gateway: _Hashing(gateway.random, ""),
             _lru_keeper,
         ),
-        Policy("oracle", _Oracle, make_engine=_engine_with_all),
+        Policy("oracle", _Oracle, make_engine=_make_full_engine),
     )
 }
 
 
-def play(load_name: str, policy_name: str, seed: int) -> Score:
+def simulate(load_name: str, policy_name: str, seed: int) -> Score:
     """Plays one load under one policy."""
     load = LOADS[load_name]
     fleet = Fleet(load, POLICIES[policy_name], seed)
-    fleet.play(draw(load, seed))
+    fleet.simulate(draw(load, seed))
     return score(fleet)
 
 
@@ -865,18 +880,19 @@
 ) -> None:
     """Compares policies on the same arrivals."""
     rows = []
-    kept: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        plays = {
+        runs = {
             (load, policy): [
-                pool.submit(play, load, policy, seed) for seed in range(seeds)
+                pool.submit(simulate, load, policy, seed)
+                for seed in range(seeds)
             ]
             for load in loads
             for policy in policies
         }
     for load in loads:
         for policy in policies:
-            scores = [one.result() for one in plays[load, policy]]
+            scores = [one.result() for one in runs[load, policy]]
             row: list[object] = [load, policy]
             cells = {}
             for field in dataclasses.fields(Score):
@@ -884,12 +900,12 @@
                 mean, half = interval(values)
                 cells[field.name] = {"mean": mean, "half": half}
                 row.append(f"{mean:.3f} ±{half:.3f}")
-            kept.setdefault(load, {})[policy] = cells
+            results.setdefault(load, {})[policy] = cells
             rows.append(row)
     headings = ["load", "policy"]
     headings += [field.name for field in dataclasses.fields(Score)]
     click.echo(report.table(headings, rows))
-    report.keep("replay", kept)
+    report.save("replay", results)
 
 
 if __name__ == "__main__":
--- a/bench/report.py
+++ b/bench/report.py
@@ -22,7 +22,7 @@
     return statistics.median(values) if values else 0.0
 
 
-def keep(name: str, value: Any) -> pathlib.Path:
+def save(name: str, value: Any) -> pathlib.Path:
     """Keeps a result as JSON.
 
     Args:
--- a/bench/shipped.py
+++ b/bench/shipped.py
@@ -48,14 +48,14 @@
         self.incarnation = 1
         self.leaving = False
         self.waiting: dict[bytes, tuple[float, bool]] = {}
-        self.see()
+        self.observe_engine()
 
     @property
     def now_ms(self) -> int:
         """The virtual time in whole milliseconds."""
         return int(self.world.clock.now_ms)
 
-    def see(self) -> None:
+    def observe_engine(self) -> None:
         """Lets the machine see its engine."""
         resident = frozenset(
             name
@@ -73,11 +73,11 @@
     def restart_engine(self) -> None:
         """Restarts the engine cold."""
         self.incarnation += 1
-        self.engine.cut()
+        self.engine.drop_sequences()
         for attempt_id in list(self.machine.running):
             self.world.ended(attempt_id, cut=True)
             self.feed(event_lib.RunEnded(attempt_id))
-        self.see()
+        self.observe_engine()
 
     def feed(self, event: event_lib.Event) -> None:
         """Feeds the machine and performs what it decides."""
@@ -106,11 +106,11 @@
             case event_lib.Reject(attempt_id=attempt_id, failure=failure):
                 waited = self.waiting.pop(attempt_id, None)
                 if waited is not None and waited[1]:
-                    self.world.on_wasted(
+                    self.world.on_rejected_stall(
                         attempt_id, self.world.clock.now_ms - waited[0]
                     )
                 load = self.machine.report("", PROCESS, self.now_ms)
-                self.world.refused(self.name, attempt_id, failure, load)
+                self.world.rejected(self.name, attempt_id, failure, load)
             case event_lib.StartLoad():
                 self.start_load(action)
             case event_lib.StartUnload():
@@ -200,11 +200,11 @@
             routing.Router(routing_settings) for _ in range(entries)
         ]
         self.budgets = [retry_budget.RetryBudget() for _ in range(entries)]
-        self.turns = itertools.cycle(range(entries))
+        self.entry_cycle = itertools.cycle(range(entries))
         self.requests: dict[bytes, Request] = {}
-        self.tries = 0
+        self.attempt_count = 0
         self.probes = 0
-        self.refusals: dict[str, int] = {}
+        self.rejections: dict[str, int] = {}
         self.targets = {
             name: ShippedTarget(
                 name,
@@ -230,13 +230,13 @@
                 target.feed(event_lib.Ticked())
         self.clock.after(TICK_MS, self._tick)
 
-    def on_wasted(self, attempt_id: bytes, waited_ms: float) -> None:
+    def on_rejected_stall(self, attempt_id: bytes, waited_ms: float) -> None:
         """Counts a wait for a load that ended in a refusal."""
         request = self.requests.get(attempt_id)
         if request is not None:
             self.on_stall(request.arrival.service, waited_ms)
 
-    def ask(
+    def submit_request(
         self,
         arrival: model.Arrival,
         first: Done,
@@ -244,9 +244,9 @@
     ) -> None:
         """Takes a caller's request at one of the entries."""
         request = Request(arrival, first, done)
-        request.entry = next(self.turns)
-        asked = resolve.RoutingFields("", arrival.adapter, "", "", "", {})
-        resolution = resolve.resolve(asked, self.held)
+        request.entry = next(self.entry_cycle)
+        fields = resolve.RoutingFields("", arrival.adapter, "", "", "", {})
+        resolution = resolve.resolve(fields, self.held)
         if isinstance(resolution, result.Failure):
             raise ValueError(resolution)
         router = self.routers[request.entry]
@@ -259,7 +259,7 @@
         probed = router.to_probe(shortlist, adapter, now_ms)
         if self.omniscient:
             best = min(candidates, key=lambda n: self._true_cost(n, adapter))
-            self._go(request, router, resolution, [best])
+            self._start_exchange(request, router, resolution, [best])
             return
         for name in probed:
             self.probes += 1
@@ -268,7 +268,10 @@
             )
         delay_ms = 2 * HOP_MS if probed else 0.0
         self.clock.after(
-            delay_ms, lambda: self._go(request, router, resolution, candidates)
+            delay_ms,
+            lambda: self._start_exchange(
+                request, router, resolution, candidates
+            ),
         )
 
     def _true_cost(self, name: str, adapter: str) -> tuple[float, ...]:
@@ -284,16 +287,16 @@
             return (wait_ms + 200.0, 0.0, 0.0)
         value, victim = machine.cheapest_victim(now_ms)
         free = machine.residency.free_slots() > 0
-        stuck = 0.0 if victim or free else 2_000.0
+        no_slot_ms = 0.0 if victim or free else 2_000.0
         waiting = len(machine.queue.adapters())
-        return (wait_ms + 400.0 + stuck, value, float(waiting))
+        return (wait_ms + 400.0 + no_slot_ms, value, float(waiting))
 
     def _observe(self, router: routing.Router, name: str, adapter: str) -> None:
         now_ms = int(self.clock.now_ms)
         report = self.targets[name].machine.report(adapter, PROCESS, now_ms)
         router.observe(name, adapter, report, now_ms)
 
-    def _go(
+    def _start_exchange(
         self,
         request: Request,
         router: routing.Router,
@@ -314,9 +317,11 @@
             self.budgets[request.entry],
             deadline_at_ms=int(request.arrival.at_ms) + resolution.timeout_ms,
         )
-        self._act(request, request.exchange.start())
+        self._perform_actions(request, request.exchange.start())
 
-    def _act(self, request: Request, actions: exchange_lib.Actions) -> None:
+    def _perform_actions(
+        self, request: Request, actions: exchange_lib.Actions
+    ) -> None:
         for action in actions:
             match action:
                 case exchange_lib.Send(target=name):
@@ -327,7 +332,7 @@
                     request.done(True)
 
     def _send(self, request: Request, name: str) -> None:
-        self.tries += 1
+        self.attempt_count += 1
         resolution = request.exchange.resolution
         now_ms = int(self.clock.now_ms)
         self.routers[request.entry].sent(name, resolution.adapter, now_ms)
@@ -352,7 +357,7 @@
         self.requests[attempt.attempt_id] = request
         self.clock.after(HOP_MS, lambda: self.targets[name].submit(attempt))
 
-    def refused(
+    def rejected(
         self,
         name: str,
         attempt_id: bytes,
@@ -362,13 +367,15 @@
         """Hands a refusal to its request."""
         request = self.requests.pop(attempt_id)
         key = failure.code.name
-        self.refusals[key] = self.refusals.get(key, 0) + 1
+        self.rejections[key] = self.rejections.get(key, 0) + 1
         now_ms = int(self.clock.now_ms)
         self.routers[request.entry].observe(name, "", load, now_ms)
         event = exchange_lib.Rejected(failure)
         self.clock.after(
             HOP_MS,
-            lambda: self._act(request, request.exchange.handle(event, now_ms)),
+            lambda: self._perform_actions(
+                request, request.exchange.handle(event, now_ms)
+            ),
         )
 
     def started(self, name: str, attempt: attempt_lib.Attempt) -> None:
@@ -386,4 +393,4 @@
         failure = result.Failure(result.TARGET_FAILED, "") if cut else None
         event = exchange_lib.EndArrived(0, failure)
         now_ms = int(self.clock.now_ms)
-        self._act(request, request.exchange.handle(event, now_ms))
+        self._perform_actions(request, request.exchange.handle(event, now_ms))
--- a/bench/usage_caps.py
+++ b/bench/usage_caps.py
@@ -27,14 +27,14 @@
 CAP = usage_cap.UsageCap(120_000.0, 120_000.0, usage_cap.CostUnit.TOKEN)
 # Small requests, and one in fifty that is fourteen times as large.
 COSTS = (650.0, 9_190.0)
-LARGE_PART = 0.02
-MEAN_COST = (1 - LARGE_PART) * COSTS[0] + LARGE_PART * COSTS[1]
-TELL_EVERY_MS = 250
+LARGE_FRACTION = 0.02
+MEAN_COST = (1 - LARGE_FRACTION) * COSTS[0] + LARGE_FRACTION * COSTS[1]
+REPORT_INTERVAL_MS = 250
 # A use that is told: account, number and cost, with the datagram's header.
-TOLD_BYTES = 60
+REPORT_BYTES = 60
 HEADER_BYTES = 28
 MS_PER_S = 1_000
-PLAY_S = 30
+DURATION_S = 30
 
 Done = Callable[[bool], None]
 
@@ -67,8 +67,8 @@
     skew: float = 0.0
     cut_count: int = 0
     restarts_all: bool = False
-    half_known: bool = False
-    one_dies: bool = False
+    has_partial_views: bool = False
+    one_fails: bool = False
 
 
 SCENARIOS = (
@@ -79,10 +79,10 @@
     Scenario("rush, uneven", 3.3, skew=1.0),
     Scenario("usual use, 6 cut off", 0.55, skew=0.5, cut_count=6),
     Scenario("rush, 6 cut off", 3.3, skew=0.5, cut_count=6),
-    Scenario("rush, views differ", 3.3, skew=0.5, half_known=True),
+    Scenario("rush, views differ", 3.3, skew=0.5, has_partial_views=True),
     Scenario("usual use, all restart", 0.55, skew=0.5, restarts_all=True),
     Scenario("rush, all restart", 3.3, skew=0.5, restarts_all=True),
-    Scenario("usual use, a gateway dies", 0.55, skew=0.5, one_dies=True),
+    Scenario("usual use, a gateway dies", 0.55, skew=0.5, one_fails=True),
 )
 
 
@@ -122,7 +122,7 @@
         return self._world.message_bytes
 
 
-class EqualParts:
+class EqualShares:
     """Each gateway admits an equal part of the limit."""
 
     def __init__(self, world: usage.World) -> None:
@@ -149,7 +149,7 @@
     message_bytes = 0
 
 
-class Telling:
+class UsageReporting:
     """Base of the ways in which gateways tell each other their use."""
 
     def __init__(self, world: usage.World) -> None:
@@ -158,33 +158,33 @@
         self.sums: dict[str, sliding_sum.SlidingSum] = collections.defaultdict(
             lambda: sliding_sum.SlidingSum(RULES.window_ms)
         )
-        self.told: dict[str, dict[str, tuple[int, float]]] = (
+        self.reported: dict[str, dict[str, tuple[int, float]]] = (
             collections.defaultdict(dict)
         )
         self.message_bytes = 0
         for number, name in enumerate(world.gateways):
             world.after(
-                number * TELL_EVERY_MS / world.count,
-                lambda name=name: self._tell(name),
+                number * REPORT_INTERVAL_MS / world.count,
+                lambda name=name: self._report_usage(name),
             )
 
-    def _tell(self, name: str) -> None:
+    def _report_usage(self, name: str) -> None:
         now_ms = self.world.now_ms
         use = self.sums[name].total(now_ms)
         part = CAP.limit(RULES.window_ms) / self.world.count
         if use > part / 4:
             for other in self.world.gateways[name].others:
-                self.message_bytes += TOLD_BYTES + HEADER_BYTES
+                self.message_bytes += REPORT_BYTES + HEADER_BYTES
                 if frozenset((name, other)) in self.world.cuts:
                     continue
                 self.world.after(
                     self.world.random.randint(1, 6),
-                    lambda other=other: self._hear(other, name, use),
+                    lambda other=other: self._receive_usage(other, name, use),
                 )
-        self.world.after(TELL_EVERY_MS, lambda: self._tell(name))
+        self.world.after(REPORT_INTERVAL_MS, lambda: self._report_usage(name))
 
-    def _hear(self, name: str, source: str, use: float) -> None:
-        self.told[name][source] = (self.world.now_ms, use)
+    def _receive_usage(self, name: str, source: str, use: float) -> None:
+        self.reported[name][source] = (self.world.now_ms, use)
 
     def allowed(self, name: str) -> float:
         """Returns what a gateway may send in a window now."""
@@ -194,7 +194,9 @@
         """Returns what others told of the last window."""
         oldest_ms = self.world.now_ms - RULES.window_ms
         return sum(
-            use for at_ms, use in self.told[name].values() if at_ms > oldest_ms
+            use
+            for at_ms, use in self.reported[name].values()
+            if at_ms > oldest_ms
         )
 
     def request(self, name: str, cost: float, done: Done) -> None:
@@ -210,10 +212,10 @@
     def restart(self, name: str) -> None:
         """Forgets what a gateway knows."""
         self.sums.pop(name, None)
-        self.told.pop(name, None)
+        self.reported.pop(name, None)
 
 
-class PartsByUse(Telling):
+class ProportionalShares(UsageReporting):
     """The limit is split by told use; others keep a part of equal parts."""
 
     def allowed(self, name: str) -> float:
@@ -227,7 +229,7 @@
         return part / 2 + share * limit / 2
 
 
-class Apologizing(Telling):
+class Optimistic(UsageReporting):
     """Each spends on its estimate of all; what is overspent is paid back."""
 
     def allowed(self, name: str) -> float:
@@ -235,15 +237,15 @@
         return CAP.limit(RULES.window_ms) - self.others_use(name)
 
 
-WAYS: dict[str, Callable[[usage.World], Policy]] = {
-    "equal parts": EqualParts,
-    "parts by use": PartsByUse,
+POLICIES: dict[str, Callable[[usage.World], Policy]] = {
+    "equal parts": EqualShares,
+    "parts by use": ProportionalShares,
     "borrowing": Borrowing,
-    "apologizing": Apologizing,
+    "apologizing": Optimistic,
 }
 
 
-def arrivals(
+def draw_arrivals(
     scenario: Scenario, count: int, source: random.Random
 ) -> list[Arrival]:
     """Draws the requests of a play, in order."""
@@ -252,15 +254,15 @@
     per_ms = scenario.load * CAP.rate_per_s / MEAN_COST / MS_PER_S
     at_ms = 0.0
     drawn = []
-    while at_ms < PLAY_S * MS_PER_S:
+    while at_ms < DURATION_S * MS_PER_S:
         at_ms += source.expovariate(per_ms)
         (gateway,) = source.choices(range(count), weights)
-        cost = COSTS[source.random() < LARGE_PART]
+        cost = COSTS[source.random() < LARGE_FRACTION]
         drawn.append(Arrival(round(at_ms), gateway, cost))
     return drawn
 
 
-def owed(requests: list[Arrival]) -> float:
+def ideal_admitted_cost(requests: list[Arrival]) -> float:
     """Returns what one limiter that sees all would admit."""
     window = sliding_sum.SlidingSum(RULES.window_ms, 1)
     limit = CAP.limit(RULES.window_ms)
@@ -272,15 +274,15 @@
     return admitted
 
 
-def play(
-    way: str, scenario: Scenario, count: int, seed: int
+def simulate(
+    policy_name: str, scenario: Scenario, count: int, seed: int
 ) -> dict[str, float]:
     """Plays one scenario; returns its figures."""
     source = random.Random(seed)
     world = usage.World(RULES, CAP, count, source)
-    policy = WAYS[way](world)
+    policy = POLICIES[policy_name](world)
     names = list(world.gateways)
-    requests = arrivals(scenario, count, random.Random(seed))
+    requests = draw_arrivals(scenario, count, random.Random(seed))
     began_ms = world.now_ms
     admitted = [0.0]
     dead: set[str] = set()
@@ -297,7 +299,7 @@
 
     for one in requests:
         world.after(one.at_ms, lambda one=one: arrive(one))
-    middle_ms = PLAY_S * MS_PER_S / 2
+    middle_ms = DURATION_S * MS_PER_S / 2
     if scenario.cut_count:
         side = set(names[: scenario.cut_count])
         cut = {
@@ -308,27 +310,27 @@
         world.after(20_000, world.cuts.clear)
     if scenario.restarts_all:
         world.after(middle_ms, lambda: [policy.restart(n) for n in names])
-    if scenario.half_known:
+    if scenario.has_partial_views:
         for name in names[::5]:
             world.gateways[name].others = set(names[: count // 2]) - {name}
-    if scenario.one_dies:
+    if scenario.one_fails:
         gone = names[0]
 
-        def die() -> None:
+        def fail() -> None:
             dead.add(gone)
             world.cuts.update(
                 frozenset((gone, name)) for name in names if name != gone
             )
 
-        world.after(middle_ms, die)
-    world.run_until(began_ms + PLAY_S * MS_PER_S + 1_000)
+        world.after(middle_ms, fail)
+    world.run_until(began_ms + DURATION_S * MS_PER_S + 1_000)
     limit = CAP.limit(RULES.window_ms)
-    ideal = owed(requests)
+    ideal = ideal_admitted_cost(requests)
     return {
         "worst_window": world.worst_window() / limit,
         "allowed": 1 + RULES.overage + RULES.tolerance / limit,
         "refused_below": max(0.0, 1 - admitted[0] / ideal),
-        "bytes_per_s": policy.message_bytes / count / PLAY_S,
+        "bytes_per_s": policy.message_bytes / count / DURATION_S,
     }
 
 
@@ -339,14 +341,17 @@
     """Plays every way in every scenario and prints the worst of the seeds."""
     rows = []
     for scenario in SCENARIOS:
-        for way in WAYS:
-            plays = [
-                play(way, scenario, gateways, seed) for seed in range(seeds)
+        for policy_name in POLICIES:
+            runs = [
+                simulate(policy_name, scenario, gateways, seed)
+                for seed in range(seeds)
             ]
-            worst = {key: max(one[key] for one in plays) for key in plays[0]}
-            rows.append({"scenario": scenario.name, "way": way, **worst})
+            worst = {key: max(one[key] for one in runs) for key in runs[0]}
+            rows.append(
+                {"scenario": scenario.name, "way": policy_name, **worst}
+            )
             click.echo(
-                f"{scenario.name:26} {way:13}"
+                f"{scenario.name:26} {policy_name:13}"
                 f" worst window {worst['worst_window']:.3f}"
                 f" of {worst['allowed']:.3f} allowed,"
                 f" refused below the cap {worst['refused_below']:.3f},"
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -14,7 +14,7 @@
 
 
 def _scores(load: str, policy: str) -> list[replay.Score]:
-    return [replay.play(load, policy, seed) for seed in SEEDS]
+    return [replay.simulate(load, policy, seed) for seed in SEEDS]
 
 
 def _mean(scores: list[replay.Score], field: str) -> float:
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -219,12 +219,12 @@
 def test_the_overshoot_stays_within_the_allowed_one() -> None:
     """Guards against lending a share twice, with and without faults."""
     for scenario in bench.SCENARIOS:
-        figures = bench.play("borrowing", scenario, 21, seed=11)
+        figures = bench.simulate("borrowing", scenario, 21, seed=11)
         assert figures["worst_window"] <= figures["allowed"], scenario.name
         if scenario.load > 1:
             # Above the cap, the admitted requests depend on their order.
             continue
-        is_hurt = scenario.cut_count or scenario.one_dies
+        is_hurt = scenario.cut_count or scenario.one_fails
         aim = 0.05 if is_hurt or scenario.restarts_all else 0.01
         assert figures["refused_below"] <= aim, scenario.name
 
@@ -235,7 +235,7 @@
     world = usage.World(bench.RULES, bench.CAP, 21, random.Random(7))
     names = list(world.gateways)
     began_ms = world.now_ms
-    for one in bench.arrivals(scenario, 21, random.Random(7)):
+    for one in bench.draw_arrivals(scenario, 21, random.Random(7)):
         world.after(
             one.at_ms,
             lambda one=one: world.gateways[names[one.gateway]].request(
@@ -254,7 +254,7 @@
 def test_an_account_far_below_its_cap_causes_few_messages() -> None:
     """Guards against traffic that grows with the number of accounts."""
     (usual, *_) = bench.SCENARIOS
-    assert bench.play("borrowing", usual, 21, seed=5)["bytes_per_s"] < 50
+    assert bench.simulate("borrowing", usual, 21, seed=5)["bytes_per_s"] < 50
 
 
 def test_messages_are_decoded_as_they_were_encoded() -> None:
@@ -272,7 +272,7 @@
 def test_a_cap_holds_over_two_gateways_and_sets_retry_after() -> None:
     """Guards against one cap per gateway, and a 429 without Retry-After."""
 
-    async def play() -> None:
+    async def simulate() -> None:
         async with fixtures.running_fleet(engines=1, plain=1) as fleet:
             window = {"usage_window_ms": 60_000}
             first = await fleet.add_gateway(**window)
@@ -308,13 +308,13 @@
             ]
             assert len(target.seen) == len(served)
 
-    fixtures.run(play)
+    fixtures.run(simulate)
 
 
 def test_requests_that_a_target_rejects_do_not_count() -> None:
     """Guards against charging requests that no target ran."""
 
-    async def play() -> None:
+    async def simulate() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
             shares = fleet.gateway.usage_caps._books
             shares._started_ms -= 60_000
@@ -329,7 +329,7 @@
             await _calls(fleet, 1, fleet.gateway)
             assert fleet.gateway.usage_caps.report()[ACCOUNT]["sent"] == 1.0
 
-    fixtures.run(play)
+    fixtures.run(simulate)
 
 
 def test_the_proof_reaches_the_cap() -> None:
