--- a/proofs/actors.py
+++ b/proofs/actors.py
@@ -24,16 +24,16 @@
     resident: set[str] = dataclasses.field(default_factory=set)
     runs: dict[bytes, str] = dataclasses.field(default_factory=dict)
     orders: list[tuple[int, object]] = dataclasses.field(default_factory=list)
-    fence: int = 0
+    fencing_token: int = 0
 
 
 @dataclasses.dataclass(slots=True)
-class Serving:
+class ServedRun:
     """A run at a target process, as its driver keeps it."""
 
     run: run_lib.Run
     adapter: str
-    heads: set[bytes] = dataclasses.field(default_factory=set)
+    head_sent_to: set[bytes] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,11 +42,11 @@
 
     name: str
     engine: Engine
-    machine: target_lib.Target | None = None
+    state_machine: target_lib.Target | None = None
     epoch: int = 0
     frozen: bool = False
-    listed_leaving: bool = False
-    servings: dict[bytes, Serving] = dataclasses.field(default_factory=dict)
+    listed_draining: bool = False
+    servings: dict[bytes, ServedRun] = dataclasses.field(default_factory=dict)
     owners: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
 
 
@@ -63,13 +63,13 @@
     attempt_id: bytes = b""
     attempts: list[bytes] = dataclasses.field(default_factory=list)
     chunks: list[bytes] = dataclasses.field(default_factory=list)
-    told_adapter: str = ""
+    response_adapter: str = ""
     outcome: result.Failure | str | None = None
-    told_ms: int = 0
+    replied_at_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToTarget:
+class MessageToTarget:
     """A message to a target process."""
 
     node: str
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToCaller:
+class MessageToCaller:
     """A message to a request at its entry."""
 
     caller: int
--- a/proofs/crashes.py
+++ b/proofs/crashes.py
@@ -15,7 +15,7 @@
 from radishstack.process import incarnation
 
 COUNTS: collections.Counter[str] = collections.Counter()
-GATEWAYS = 3
+GATEWAY_COUNT = 3
 POISON = "50" * 16
 POPULAR = "07" * 16
 # A target runs a request for longer than a word takes, and nobody sends the
@@ -23,16 +23,16 @@
 MIN_RUN_MS = 30
 MAX_RUN_MS = 900
 # On the road of a word.
-ROAD_MS = 3
+REPORT_DELAY_MS = 3
 MAX_PAUSE_MS = 30_000
 MAX_NEIGHBOURS = 6
 # Targets that may end under a request that is always refused by those who
 # know, if no word is lost.
-MOST_ENDED = 3
+MAX_CRASHED_TARGETS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class Report:
     """A datagram on its way.
 
     Attributes:
@@ -41,10 +41,10 @@
         data: Its bytes.
     """
 
-    to: int
-    by: int
+    receiver: int
+    sender: int
     data: bytes
-    told_at_ms: int
+    sent_at_ms: int
 
 
 class CrashesMachine(stateful.RuleBasedStateMachine):
@@ -55,48 +55,50 @@
         super().__init__()
         self.now_ms = 100_000
         self.gateways = [
-            crash_evidence.CrashEvidence() for _ in range(GATEWAYS)
+            crash_evidence.CrashEvidence() for _ in range(GATEWAY_COUNT)
         ]
-        self.words: list[Word] = []
-        self.starts = 0
+        self.reports: list[Report] = []
+        self.incarnation_count = 0
         self.neighbours: list[str] = []
-        self.ended_in_a_row = 0
-        self.popular_moments = 0
-        self.lost_any = False
+        self.poison_crashes = 0
+        self.popular_crashes = 0
+        self.any_report_lost = False
 
-    def _start(self) -> incarnation.IncarnationId:
-        self.starts += 1
-        return incarnation.IncarnationId(f"i{self.starts}", self.starts)
+    def _new_incarnation(self) -> incarnation.IncarnationId:
+        self.incarnation_count += 1
+        return incarnation.IncarnationId(
+            f"i{self.incarnation_count}", self.incarnation_count
+        )
 
-    def _tell(
+    def _send(
         self,
-        by: int,
+        sender: int,
         records: list[crash_evidence.Record],
         only: int | None = None,
     ) -> None:
-        told = tuple(
+        wire_records = tuple(
             fleet_wire.told_record(one, self.now_ms) for one in records
         )
-        data = fleet_wire.encode(fleet_wire.CrashReport(told))
-        for to in range(GATEWAYS):
-            if to != by and only in (None, to):
-                self.words.append(Word(to, by, data, self.now_ms))
+        data = fleet_wire.encode(fleet_wire.CrashReport(wire_records))
+        for receiver in range(GATEWAY_COUNT):
+            if receiver != sender and only in (None, receiver):
+                self.reports.append(Report(receiver, sender, data, self.now_ms))
 
     def _crash(
         self,
         incarnation_id: incarnation.IncarnationId,
-        seen: dict[int, list[tuple[str, int]]],
+        requests_by_gateway: dict[int, list[tuple[str, int]]],
     ) -> None:
         """Ends a target; each gateway sees its own requests break off."""
-        for number, requests in seen.items():
+        for number, requests in requests_by_gateway.items():
             suspects = tuple(
                 crash_lib.Suspect(fingerprint, began_ms)
                 for fingerprint, began_ms in requests
             )
             crash = crash_lib.Crash(incarnation_id, self.now_ms, suspects)
-            self._tell(number, self.gateways[number].crashed(crash))
+            self._send(number, self.gateways[number].crashed(crash))
 
-    def _fresh(self, count: int) -> list[tuple[str, int]]:
+    def _new_neighbours(self, count: int) -> list[tuple[str, int]]:
         """Returns requests of others, each of them asked once."""
         fresh = [
             f"{len(self.neighbours) + number:032x}" for number in range(count)
@@ -111,42 +113,45 @@
     ) -> crash_evidence.Quarantine | None:
         return self.gateways[number].quarantine(fingerprint, self.now_ms)
 
-    def _is_sent(self, number: int, fingerprint: str) -> bool:
+    def _may_send(self, number: int, fingerprint: str) -> bool:
         if self._quarantine(number, fingerprint) is None:
             return True
-        tried = self.gateways[number].may_send_trial(
+        is_trial = self.gateways[number].may_send_trial(
             fingerprint, self.now_ms, number
         )
-        COUNTS["tried"] += tried
-        return tried
+        COUNTS["tried"] += is_trial
+        return is_trial
 
     @stateful.rule(
-        number=st.integers(0, GATEWAYS - 1),
+        number=st.integers(0, GATEWAY_COUNT - 1),
         run_ms=st.integers(MIN_RUN_MS, MAX_RUN_MS),
         beside=st.lists(
-            st.integers(0, MAX_NEIGHBOURS), min_size=GATEWAYS, max_size=GATEWAYS
+            st.integers(0, MAX_NEIGHBOURS),
+            min_size=GATEWAY_COUNT,
+            max_size=GATEWAY_COUNT,
         ),
-        popular_at=st.integers(-1, GATEWAYS - 1),
+        popular_at=st.integers(-1, GATEWAY_COUNT - 1),
     )
     def poison_comes(
         self, number: int, run_ms: int, beside: list[int], popular_at: int
     ) -> None:
         """It ends its target, unless it is refused; others run there too."""
-        if not self._is_sent(number, POISON):
+        if not self._may_send(number, POISON):
             COUNTS["refused"] += 1
             return
         self.now_ms += MIN_RUN_MS
         began_ms = self.now_ms
-        seen = {
-            gateway: self._fresh(count) for gateway, count in enumerate(beside)
+        requests_by_gateway = {
+            gateway: self._new_neighbours(count)
+            for gateway, count in enumerate(beside)
         }
-        seen[number].append((POISON, began_ms))
-        if popular_at >= 0 and self._is_sent(popular_at, POPULAR):
-            seen[popular_at].append((POPULAR, began_ms))
-            self.popular_moments += 1
+        requests_by_gateway[number].append((POISON, began_ms))
+        if popular_at >= 0 and self._may_send(popular_at, POPULAR):
+            requests_by_gateway[popular_at].append((POPULAR, began_ms))
+            self.popular_crashes += 1
         self.now_ms += run_ms
-        self._crash(self._start(), seen)
-        self.ended_in_a_row += 1
+        self._crash(self._new_incarnation(), requests_by_gateway)
+        self.poison_crashes += 1
         COUNTS["fault crash"] += 1
 
     @stateful.rule(count=st.integers(2, 8), spread_ms=st.integers(0, 200))
@@ -159,96 +164,111 @@
         for target in range(count):
             self.now_ms = cut_at_ms + spread_ms * target // count
             self._crash(
-                self._start(),
-                {target % GATEWAYS: [(POPULAR, began_ms), *self._fresh(3)]},
+                self._new_incarnation(),
+                {
+                    target % GATEWAY_COUNT: [
+                        (POPULAR, began_ms),
+                        *self._new_neighbours(3),
+                    ]
+                },
             )
-        self.popular_moments += 1
+        self.popular_crashes += 1
         COUNTS["fault power"] += 1
 
-    @stateful.rule(number=st.integers(0, GATEWAYS - 1))
+    @stateful.rule(number=st.integers(0, GATEWAY_COUNT - 1))
     def popular_ends_well(self, number: int) -> None:
         """One of the many equal requests is answered."""
-        if not self._is_sent(number, POPULAR):
+        if not self._may_send(number, POPULAR):
             return
         self.now_ms += MIN_RUN_MS
         record = self.gateways[number].succeeded(POPULAR, self.now_ms)
         if record is not None:
-            self._tell(number, [record])
-            self.popular_moments = 0
+            self._send(number, [record])
+            self.popular_crashes = 0
             COUNTS["cleared"] += 1
 
     @stateful.rule(pick=st.integers(0, 10**6), keep=st.booleans())
     def word_arrives(self, pick: int, keep: bool) -> None:
         """Any word, in any order; one that is kept comes once more."""
-        if not self.words:
+        if not self.reports:
             return
-        index = pick % len(self.words)
-        word = self.words[index] if keep else self.words.pop(index)
-        self._hear(word)
+        index = pick % len(self.reports)
+        report = self.reports[index] if keep else self.reports.pop(index)
+        self._handle_report(report)
 
-    def _hear(self, word: Word) -> None:
-        news = fleet_wire.decode(word.data)
-        evidence = self.gateways[word.to]
-        for told in news.records:
-            record = fleet_wire.record_of(told, word.told_at_ms + ROAD_MS)
+    def _handle_report(self, report: Report) -> None:
+        message = fleet_wire.decode(report.data)
+        evidence = self.gateways[report.receiver]
+        for wire_record in message.records:
+            record = fleet_wire.record_of(
+                wire_record, report.sent_at_ms + REPORT_DELAY_MS
+            )
             evidence.take(record)
-            unheard = evidence.missed_clearance(record)
-            if unheard is not None:
-                self._tell(word.to, [unheard], only=word.by)
+            clearance = evidence.missed_clearance(record)
+            if clearance is not None:
+                self._send(report.receiver, [clearance], only=report.sender)
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def word_is_lost(self, pick: int) -> None:
         """Datagrams are lost."""
-        if self.words:
-            self.words.pop(pick % len(self.words))
-            self.lost_any = True
+        if self.reports:
+            self.reports.pop(pick % len(self.reports))
+            self.any_report_lost = True
             COUNTS["fault lost word"] += 1
 
-    @stateful.rule(number=st.integers(0, GATEWAYS - 1))
+    @stateful.rule(number=st.integers(0, GATEWAY_COUNT - 1))
     def gateway_restarts(self, number: int) -> None:
         """It knows nothing, and asks another."""
         self.gateways[number] = crash_evidence.CrashEvidence()
-        other = (number + 1) % GATEWAYS
-        self._tell(other, list(self.gateways[other].recurring()), only=number)
-        self.lost_any = True
+        other = (number + 1) % GATEWAY_COUNT
+        self._send(other, list(self.gateways[other].recurring()), only=number)
+        self.any_report_lost = True
         COUNTS["fault restart"] += 1
 
     @stateful.rule(pause_ms=st.integers(0, MAX_PAUSE_MS))
     def time_passes(self, pause_ms: int) -> None:
         """All words on their way arrive, and what matters is passed on."""
         for _ in range(2):
-            while self.words:
-                self._hear(self.words.pop(0))
+            while self.reports:
+                self._handle_report(self.reports.pop(0))
             for number, evidence in enumerate(self.gateways):
-                self._tell(number, list(evidence.recurring()))
-        while self.words:
-            self._hear(self.words.pop(0))
+                self._send(number, list(evidence.recurring()))
+        while self.reports:
+            self._handle_report(self.reports.pop(0))
         self.now_ms += pause_ms
-        self._check_settled()
+        self._check_agreement()
 
-    def _check_settled(self) -> None:
+    def _check_agreement(self) -> None:
         """With all words told, gateways agree."""
         COUNTS["checks"] += 1
         for fingerprint in (POISON, POPULAR):
             quarantines = {
                 self._quarantine(number, fingerprint) is not None
-                for number in range(GATEWAYS)
+                for number in range(GATEWAY_COUNT)
             }
             assert len(quarantines) == 1, (fingerprint, self.gateways)
-        if self._quarantine(0, POPULAR) is not None and not self.lost_any:
-            assert self.popular_moments >= MOST_ENDED
-        if self.ended_in_a_row > MOST_ENDED and not self.lost_any:
+        if (
+            self._quarantine(0, POPULAR) is not None
+            and not self.any_report_lost
+        ):
+            assert self.popular_crashes >= MAX_CRASHED_TARGETS
+        if (
+            self.poison_crashes > MAX_CRASHED_TARGETS
+            and not self.any_report_lost
+        ):
             known = self.gateways[0].record(POISON).observations
-            held = self._quarantine(0, POISON)
-            assert held is not None or len(known) <= MOST_ENDED, known
+            quarantine = self._quarantine(0, POISON)
+            assert (
+                quarantine is not None or len(known) <= MAX_CRASHED_TARGETS
+            ), known
 
     @stateful.invariant()
     def no_neighbour_is_refused(self) -> None:
         """Who stands at one crash is never refused."""
         COUNTS["checks"] += 1
         for evidence in self.gateways:
-            refused = evidence.quarantined(self.now_ms)
-            assert refused.keys() <= {POISON, POPULAR}, refused
+            quarantined = evidence.quarantined(self.now_ms)
+            assert quarantined.keys() <= {POISON, POPULAR}, quarantined
 
     @stateful.invariant()
     def memory_is_bounded(self) -> None:
--- a/proofs/scene.py
+++ b/proofs/deployment.py
@@ -2,14 +2,14 @@
 
 from radishstack.version import document as document_lib
 
-WINDOW_MS = 20_000
+RETRY_WINDOW_MS = 20_000
 TIMEOUT_MS = 8_000
 ENGINES = ("engine-1", "engine-2")
-DESKS = ("desk-1", "desk-2", "desk-3")
+PLAIN_TARGETS = ("desk-1", "desk-2", "desk-3")
 ADAPTERS = tuple(f"a{index}" for index in range(5))
 
 
-def first_document() -> document_lib.Document:
+def initial_document() -> document_lib.Document:
     """Returns the document the world starts with."""
     raw = {
         "customers": [{"name": "c1"}, {"name": "c2", "max_in_flight": 3}],
@@ -31,7 +31,7 @@
                     "address": "127.0.0.1:1",
                     "failure_domain": "r/a",
                 }
-                for name in DESKS
+                for name in PLAIN_TARGETS
             ),
         ],
         "services": [
@@ -47,16 +47,16 @@
                 "targets": list(ENGINES),
                 "idempotent": False,
                 "timeout_ms": TIMEOUT_MS,
-                "retry_window_ms": WINDOW_MS,
+                "retry_window_ms": RETRY_WINDOW_MS,
             },
             {
                 "name": "book",
                 "customer": "c2",
                 "kind": "plain",
-                "targets": list(DESKS[:2]),
+                "targets": list(PLAIN_TARGETS[:2]),
                 "idempotent": False,
                 "timeout_ms": TIMEOUT_MS,
-                "retry_window_ms": WINDOW_MS,
+                "retry_window_ms": RETRY_WINDOW_MS,
             },
         ],
         "adapters": [
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -954,7 +954,7 @@
 )
 
 
-def catches(mutant: Mutant) -> tuple[bool, str]:
+def run_mutant(mutant: Mutant) -> tuple[bool, str]:
     """Runs a mutant's proof against a scratch copy.
 
     Args:
@@ -977,7 +977,7 @@
                 " times"
             )
         path.write_text(text.replace(mutant.old, mutant.new), encoding="utf-8")
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, *mutant.proof],
             cwd=ROOT,
             env={**os.environ, "PYTHONPATH": folder},
@@ -986,13 +986,13 @@
             timeout=TIMEOUT_S,
             check=False,
         )
-    lines = [line for line in done.stdout.splitlines() if line.strip()]
+    lines = [line for line in process.stdout.splitlines() if line.strip()]
     errors = [
         line
-        for line in done.stderr.splitlines()
+        for line in process.stderr.splitlines()
         if "Error" in line and not line.startswith(" ")
     ]
-    return done.returncode != 0, (errors or lines or ["?"])[-1]
+    return process.returncode != 0, (errors or lines or ["?"])[-1]
 
 
 @click.command()
@@ -1002,13 +1002,13 @@
     """Runs every mutant's proof and prints what was caught."""
     chosen = [m for m in MUTANTS if only in m.promise or only in m.path]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        verdicts = list(pool.map(catches, chosen))
-    for mutant, (caught, line) in zip(chosen, verdicts, strict=True):
-        word = "caught" if caught else "MISSED"
+        results = list(pool.map(run_mutant, chosen))
+    for mutant, (caught, line) in zip(chosen, results, strict=True):
+        label = "caught" if caught else "MISSED"
         change = mutant.new.strip().partition("\n")[0]
-        print(f"{word}  {mutant.promise}: {mutant.path}: {change}")
+        print(f"{label}  {mutant.promise}: {mutant.path}: {change}")
         print(f"        {line[:150]}")
-    caught_count = sum(caught for caught, _ in verdicts)
+    caught_count = sum(caught for caught, _ in results)
     print(f"caught {caught_count}, missed {len(chosen) - caught_count}")
     sys.exit(0 if caught_count == len(chosen) else 1)
 
--- a/proofs/publication.py
+++ b/proofs/publication.py
@@ -38,7 +38,7 @@
         """Starts empty."""
         self.values: dict[str, bytes] = {}
         self.revision = 0
-        self.late: list[publish.UpdateRoot] = []
+        self.late_updates: list[publish.UpdateRoot] = []
 
     def root(self) -> commit_lib.Root:
         """Returns the root in force."""
@@ -95,9 +95,9 @@
     def begin(self) -> None:
         self.store = Store()
         self.operators: list[Operator] = []
-        self.count = 0
+        self.proposal_count = 0
         self.accepted: dict[str, int] = {}
-        self.refused: set[str] = set()
+        self.rejected: set[str] = set()
         self.holders = [holder_lib.Holder() for _ in range(FOLLOWERS)]
         self.roots = [commit_lib.EMPTY_ROOT]
 
@@ -130,48 +130,48 @@
                         kind="customers", name=name, field=field, value=value
                     )
                 )
-        self.count += 1
+        self.proposal_count += 1
         proposal = publish.Proposal(
-            write_id=f"w{self.count}",
-            operator=f"operator-{self.count}",
+            write_id=f"w{self.proposal_count}",
+            operator=f"operator-{self.proposal_count}",
             reason="",
             base=base,
             operations=tuple(operations),
         )
-        publisher = publish.Publisher(proposal, now_ms=self.count)
+        publisher = publish.Publisher(proposal, now_ms=self.proposal_count)
         self.operators.append(Operator(publisher, publisher.start()))
         COUNTS["proposals"] += 1
 
-    def step(self, index: int, fate: int) -> None:
+    def step(self, index: int, outcome: int) -> None:
         """One operator's next call; fates 3 to 5 lose it or its answer."""
         if not self.operators:
             return
         operator = self.operators[index % len(self.operators)]
-        if fate >= 3:
+        if outcome >= 3:
             COUNTS["fault lost answer"] += 1
-        event = self._perform(operator, fate)
+        event = self._perform(operator, outcome)
         operator.step = operator.publisher.handle(event)
         self._settle(operator)
 
-    def _perform(self, operator: Operator, fate: int) -> publish.Event:
+    def _perform(self, operator: Operator, outcome: int) -> publish.Event:
         match operator.step:
             case publish.CatchUp(held=held):
                 return self._catch_up(held)
             case publish.WriteCommit(name=name, data=data):
-                if fate != 4:
+                if outcome != 4:
                     self.store.values[name] = data
-                return publish.Written() if fate < 3 else publish.Uncertain()
+                return publish.Written() if outcome < 3 else publish.Uncertain()
             case publish.UpdateRoot() as update:
-                if fate == 5:
+                if outcome == 5:
                     COUNTS["fault late write"] += 1
-                    self.store.late.append(update)
+                    self.store.late_updates.append(update)
                     return publish.Uncertain()
-                if fate == 4:
+                if outcome == 4:
                     return publish.Uncertain()
-                took = self.store.update_root(update)
-                if fate == 3:
+                applied = self.store.update_root(update)
+                if outcome == 3:
                     return publish.Uncertain()
-                return publish.Written() if took else publish.Conflicted()
+                return publish.Written() if applied else publish.Conflicted()
         raise AssertionError(operator.step)
 
     def _catch_up(self, held: holder_lib.Held) -> publish.CaughtUp:
@@ -192,15 +192,15 @@
             case result.Failure(code=code):
                 COUNTS[f"refused {code.name}"] += 1
                 if code is not result.CHANGE_RACED:
-                    self.refused.add(write_id)
+                    self.rejected.add(write_id)
             case _:
                 return
         self.operators.remove(operator)
 
     @stateful.rule()
     def land_late_write(self) -> None:
-        if self.store.late:
-            self.store.update_root(self.store.late.pop(0))
+        if self.store.late_updates:
+            self.store.update_root(self.store.late_updates.pop(0))
 
     @stateful.rule(
         steps=st.lists(
@@ -211,8 +211,8 @@
     )
     def race(self, steps: list[tuple[int, int]]) -> None:
         """Operators' calls interleave; most answers arrive."""
-        for index, fate in steps:
-            self.step(index, fate if index < 4 else 0)
+        for index, outcome in steps:
+            self.step(index, outcome if index < 4 else 0)
 
     @stateful.rule(unlucky=st.integers(0, 5))
     def crash_operator(self, unlucky: int) -> None:
@@ -277,7 +277,7 @@
         for write_id, version in self.accepted.items():
             if found.get(write_id) != version:
                 raise AssertionError(f"accepted {write_id} is lost")
-        for write_id in self.refused & found.keys():
+        for write_id in self.rejected & found.keys():
             raise AssertionError(f"refused {write_id} took effect")
         self._check_documents(chain, root)
 
--- a/proofs/rate_limits.py
+++ b/proofs/rate_limits.py
@@ -237,7 +237,7 @@
         # Former limits, each with the time at which it was replaced.
         self.former_limits: list[tuple[int, float]] = []
         self.settled_at_ms = 0
-        self.judged_at_ms = 0
+        self.checked_until_ms = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed: int) -> None:
@@ -294,7 +294,7 @@
     def _allowed(self) -> float:
         # A higher former limit applies until gateways can have learned that it
         # was replaced.
-        since_ms = self.judged_at_ms - WINDOW_MS - SETTLE_MS
+        since_ms = self.checked_until_ms - WINDOW_MS - SETTLE_MS
         recent = [
             per_s
             for until_ms, per_s in self.former_limits
@@ -307,14 +307,14 @@
         """Gateways that must comply together send no more than is allowed."""
         if self.world is None or self.world.limit_per_s == UNLIMITED_PER_S:
             return
-        since_ms = max(self.settled_at_ms, self.judged_at_ms)
+        since_ms = max(self.settled_at_ms, self.checked_until_ms)
         worst = self.world.worst_window(since_ms)
         COUNTS["judged"] += 1
         COUNTS["judged at the limit"] += worst > 2
         assert worst <= self._allowed(), (
             f"{worst} requests, {self._allowed()} allowed"
         )
-        self.judged_at_ms = self.world.now_ms
+        self.checked_until_ms = self.world.now_ms
         oldest_ms = self.world.now_ms - 3 * WINDOW_MS
         self.world.arrivals = [
             one for one in self.world.arrivals if one.at_ms >= oldest_ms
--- a/proofs/serving.py
+++ b/proofs/serving.py
@@ -9,16 +9,16 @@
 from radishstack.version import operation as operation_lib
 
 from proofs import actors
-from proofs import scene
+from proofs import deployment
 from proofs import world as world_lib
 
 COUNTS: collections.Counter[str] = collections.Counter()
 
 _index = st.integers(0, 63)
-_engines = st.sampled_from(scene.ENGINES)
-_desks = st.sampled_from(scene.DESKS)
-_nodes = st.sampled_from((*scene.ENGINES, *scene.DESKS))
-_adapters = st.sampled_from(scene.ADAPTERS)
+_engines = st.sampled_from(deployment.ENGINES)
+_plain_targets = st.sampled_from(deployment.PLAIN_TARGETS)
+_nodes = st.sampled_from((*deployment.ENGINES, *deployment.PLAIN_TARGETS))
+_adapters = st.sampled_from(deployment.ADAPTERS)
 _keys = st.sampled_from(("k1", "k2", "k3"))
 _entries = st.integers(0, 1)
 FAULTS = (
@@ -37,20 +37,24 @@
     @stateful.initialize(seed=st.integers(0, 2**32 - 1))
     def begin(self, seed: int) -> None:
         self.world = world_lib.World(seed, COUNTS)
-        self.first_ms: dict[tuple[str, str], int] = {}
-        self.round = 0
+        self.first_use_ms: dict[tuple[str, str], int] = {}
+        self.key_generation = 0
 
     def _submit(self, service: str, adapter: str, key: str, entry: int) -> None:
         if not key:
             self.world.submit(service, adapter, key, entry)
             return
         # A key is a caller's for one retry window; then it takes a new one.
-        name = f"{key}-{self.round}"
-        first_ms = self.first_ms.setdefault((service, name), self.world.now_ms)
-        left_ms = first_ms + scene.WINDOW_MS - self.world.now_ms
-        if left_ms <= scene.TIMEOUT_MS:
-            self.round += 1
-            self.first_ms.clear()
+        name = f"{key}-{self.key_generation}"
+        first_use_ms = self.first_use_ms.setdefault(
+            (service, name), self.world.now_ms
+        )
+        remaining_ms = (
+            first_use_ms + deployment.RETRY_WINDOW_MS - self.world.now_ms
+        )
+        if remaining_ms <= deployment.TIMEOUT_MS:
+            self.key_generation += 1
+            self.first_use_ms.clear()
             return
         self.world.submit(service, adapter, name, entry)
 
@@ -84,25 +88,25 @@
     def obey(self, name: str, index: int, fate: int) -> None:
         if fate:
             COUNTS[f"fault order {fate}"] += 1
-        self.world.obey(self.world.nodes[name], index, fate)
+        self.world.execute_order(self.world.nodes[name], index, fate)
 
     @stateful.rule(name=_nodes, kind=st.sampled_from(FAULTS))
     def fault(self, name: str, kind: str) -> None:
         node = self.world.nodes[name]
-        engine = name in scene.ENGINES
+        is_engine = name in deployment.ENGINES
         COUNTS[f"fault {kind}"] += 1
         match kind:
-            case "kill" if node.machine is not None:
+            case "kill" if node.state_machine is not None:
                 self.world.kill(node)
             case "freeze":
                 node.frozen = True
             case "cut":
-                self.world.lose_readers(node)
+                self.world.cut_connections(node)
             case "leaving":
-                self.world.leave(node)
-            case "engine restart" if engine:
+                self.world.start_draining(node)
+            case "engine restart" if is_engine:
                 self.world.restart_engine(node)
-            case "engine silent" if engine:
+            case "engine silent" if is_engine:
                 self.world.feed(node, event_lib.EngineLost())
 
     @stateful.rule(name=_nodes)
@@ -110,23 +114,23 @@
         """Starts what is down, thaws what is frozen, replaces what left."""
         node = self.world.nodes[name]
         node.frozen = False
-        if node.machine is not None and node.machine.leaving:
+        if node.state_machine is not None and node.state_machine.leaving:
             self.world.kill(node)
-        if node.machine is None:
-            self.world.left_at_ms.pop(name, None)
+        if node.state_machine is None:
+            self.world.draining_since_ms.pop(name, None)
             self.world.start(node)
-        if name in scene.ENGINES:
-            self.world.look(node)
+        if name in deployment.ENGINES:
+            self.world.poll_engine(node)
 
     @stateful.rule(rounds=st.integers(1, 6))
     def work(self, rounds: int) -> None:
         """Lets everything that is not broken go on for a while."""
         for _ in range(rounds):
-            for _ in range(len(self.world.net)):
+            for _ in range(len(self.world.messages)):
                 self.world.deliver(0)
             for name, node in self.world.nodes.items():
-                if name in scene.ENGINES:
-                    self.world.obey(node, 0, 0)
+                if name in deployment.ENGINES:
+                    self.world.execute_order(node, 0, 0)
                 self.produce_all(node)
             self.world.advance(1)
 
@@ -137,7 +141,7 @@
 
     def produce_all(self, node: actors.Node) -> None:
         """Lets a target's runs go on by one chunk."""
-        if node.machine is None or node.frozen:
+        if node.state_machine is None or node.frozen:
             return
         for attempt_id in list(node.engine.runs):
             if attempt_id in node.engine.runs:
@@ -147,10 +151,12 @@
     def advance(self, by_ms: int) -> None:
         self.world.advance(by_ms)
 
-    @stateful.rule(desks=st.lists(_desks, min_size=1, max_size=3, unique=True))
+    @stateful.rule(
+        desks=st.lists(_plain_targets, min_size=1, max_size=3, unique=True)
+    )
     def move_booking(self, desks: list[str]) -> None:
         COUNTS["fault move"] += 1
-        self.world.change(
+        self.world.change_configuration(
             operation_lib.SetField(
                 kind="services", name="book", field="targets", value=desks
             )
@@ -161,7 +167,7 @@
     )
     def move_pact(self, engines: list[str]) -> None:
         COUNTS["fault move"] += 1
-        self.world.change(
+        self.world.change_configuration(
             operation_lib.SetField(
                 kind="services", name="pact", field="targets", value=engines
             )
@@ -169,10 +175,10 @@
 
     @stateful.rule(adapter=_adapters, version=st.integers(2, 3))
     def roll_out(self, adapter: str, version: int) -> None:
-        self.world.change(
+        self.world.change_configuration(
             operation_lib.AddVersion(name=adapter, version=version, source="s")
         )
-        self.world.change(
+        self.world.change_configuration(
             operation_lib.SetField(
                 kind="adapters", name=adapter, field="current", value=version
             )
@@ -198,7 +204,7 @@
             return
         caller = waiting[index % len(waiting)]
         COUNTS["fault caller left"] += 1
-        self.world.act(
+        self.world.perform_exchange_actions(
             caller,
             caller.exchange.handle(
                 exchange_lib.CallerDisconnected(), self.world.now_ms
--- a/proofs/soak.py
+++ b/proofs/soak.py
@@ -23,7 +23,7 @@
     str, tuple[type[stateful.RuleBasedStateMachine], int, collections.Counter]
 ] = {
     "serving": (serving.ServingMachine, 150, serving.COUNTS),
-    "starts": (starts.StartsMachine, 60, starts.COUNTS),
+    "starts": (starts.IncarnationsMachine, 60, starts.COUNTS),
     "crashes": (crashes.CrashesMachine, 60, crashes.COUNTS),
     "usage": (usage.UsageMachine, 60, usage.COUNTS),
     "rate_limits": (
--- a/proofs/starts.py
+++ b/proofs/starts.py
@@ -23,33 +23,33 @@
 SERVICE = "llm"
 ADDRESS = "10.0.0.1:80"
 NOW_MS = 100_000
-MAX_BIRTH_MS = 10**6
+MAX_START_TIME_MS = 10**6
 # Few, so that what is told of each meets what is told of the others.
-MAX_STARTS = 5
+MAX_INCARNATIONS = 5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class StatusUpdate:
     """What the process beside the engine tells of it."""
 
     born_ms: int
     former_born_ms: int
 
 
-def _held(born_ms: int) -> dict[str, int]:
+def _residents_of(born_ms: int) -> dict[str, int]:
     """Returns what the start of this birth holds, and no other."""
     return {BASE: 1, f"{BASE}/{born_ms}": 1}
 
 
-class StartsMachine(stateful.RuleBasedStateMachine):
+class IncarnationsMachine(stateful.RuleBasedStateMachine):
     """One engine, its process, the list, and one gateway's beliefs."""
 
     def __init__(self) -> None:
         """Starts with a registered engine that the gateway has read."""
         super().__init__()
-        self.births = [500_000]
-        self.entries: list[roster_lib.Listing] = []
-        self.words: list[Word] = []
+        self.start_times_ms = [500_000]
+        self.records: list[roster_lib.Listing] = []
+        self.updates: list[StatusUpdate] = []
         self.era = 1
         self.revision = 0
         self.read_position = store_position.StorePosition()
@@ -57,14 +57,14 @@
         self.former_born_ms = 0
         self.roster = roster_lib.Roster(2_500)
         self.placement = placement_lib.Placement(random.Random(1), "north")
-        self._register(self.births[-1])
-        self._read(self.entries[-1])
+        self._register(self.start_times_ms[-1])
+        self._read(self.records[-1])
         self._report()
 
     @property
     def born_ms(self) -> int:
         """Birth of the start that runs."""
-        return self.births[-1]
+        return self.start_times_ms[-1]
 
     @property
     def member(self) -> roster_lib.Member:
@@ -73,7 +73,7 @@
 
     def _register(self, born_ms: int) -> None:
         self.revision += 1
-        self.entries.append(
+        self.records.append(
             roster_lib.Listing(
                 instance=NAME,
                 service=SERVICE,
@@ -83,20 +83,20 @@
                 slot_count=8,
                 listed_at=1,
                 changed_at=self.revision,
-                residents=_held(born_ms),
+                residents=_residents_of(born_ms),
                 born_ms=born_ms,
                 era=self.era,
             )
         )
 
-    def _read(self, entry: roster_lib.Listing) -> None:
-        self.read_position = max(self.read_position, entry.changed_position)
-        self.roster.upsert(entry)
+    def _read(self, record: roster_lib.Listing) -> None:
+        self.read_position = max(self.read_position, record.changed_position)
+        self.roster.upsert(record)
 
     def _report(self) -> None:
         report = adapter_keeper.Report(
-            accepted_count=len(self.births),
-            residents=_held(self.born_ms),
+            accepted_count=len(self.start_times_ms),
+            residents=_residents_of(self.born_ms),
             in_transit={},
             busy=False,
             running=0,
@@ -104,14 +104,17 @@
             born_ms=self.born_ms,
         )
         self.former_born_ms = self.keeper.observe(report) or self.former_born_ms
-        self.words.append(Word(self.born_ms, self.former_born_ms))
+        self.updates.append(StatusUpdate(self.born_ms, self.former_born_ms))
 
-    @stateful.rule(born_ms=st.integers(1, MAX_BIRTH_MS))
+    @stateful.rule(born_ms=st.integers(1, MAX_START_TIME_MS))
     def restart(self, born_ms: int) -> None:
         """The engine starts again; its clock says anything but the same."""
-        if born_ms in self.births or len(self.births) >= MAX_STARTS:
+        if (
+            born_ms in self.start_times_ms
+            or len(self.start_times_ms) >= MAX_INCARNATIONS
+        ):
             return
-        self.births.append(born_ms)
+        self.start_times_ms.append(born_ms)
         COUNTS["fault restart"] += 1
 
     @stateful.rule(first=st.integers(1, 500), second=st.integers(501, 1_000))
@@ -130,24 +133,24 @@
     def write_lands_late(self) -> None:
         """A write of a start that is over takes effect after its end."""
         position = store_position.StorePosition(self.era, self.revision)
-        if len(self.births) < 2 or self.read_position < position:
+        if len(self.start_times_ms) < 2 or self.read_position < position:
             return
         if self.member.listing.born_ms != self.born_ms:
             return
-        if self.births[-2] not in self.member.former:
+        if self.start_times_ms[-2] not in self.member.former:
             # What the gateway never knew of it cannot tell from a new one.
             return
-        self._register(self.births[-2])
+        self._register(self.start_times_ms[-2])
         COUNTS["fault late write"] += 1
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def restore(self, pick: int) -> None:
         """The list is restored from an older copy and reuses revisions."""
-        current = [entry for entry in self.entries if entry.era == self.era]
-        entry = current[pick % len(current)]
+        current = [record for record in self.records if record.era == self.era]
+        record = current[pick % len(current)]
         self.era += 1
-        self.revision = entry.changed_at
-        self.entries.append(dataclasses.replace(entry, era=self.era))
+        self.revision = record.changed_at
+        self.records.append(dataclasses.replace(record, era=self.era))
         COUNTS["fault restore"] += 1
 
     @stateful.rule()
@@ -158,12 +161,12 @@
     @stateful.rule()
     def read_newest(self) -> None:
         """The gateway's watch brings what the list says now."""
-        self._read(self.entries[-1])
+        self._read(self.records[-1])
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def read_old(self, pick: int) -> None:
         """A peer, or a late answer, brings any entry that ever was."""
-        self._read(self.entries[pick % len(self.entries)])
+        self._read(self.records[pick % len(self.records)])
         COUNTS["fault old entry"] += 1
 
     @stateful.rule()
@@ -174,15 +177,15 @@
     @stateful.rule(pick=st.integers(0, 10**6))
     def handle_update(self, pick: int) -> None:
         """The gateway hears any word that was ever told."""
-        word = self.words[pick % len(self.words)]
-        incarnation_id = incarnation.IncarnationId(NAME, word.born_ms)
-        self.roster.restarted(incarnation_id, word.former_born_ms)
+        update = self.updates[pick % len(self.updates)]
+        incarnation_id = incarnation.IncarnationId(NAME, update.born_ms)
+        self.roster.restarted(incarnation_id, update.former_born_ms)
         if incarnation_id.is_other(self.member.listing.incarnation_id):
             return
         view = placement_lib.View(
-            NAME, NOW_MS, 0, 0, _held(word.born_ms), frozenset()
+            NAME, NOW_MS, 0, 0, _residents_of(update.born_ms), frozenset()
         )
-        view.born_ms = word.born_ms
+        view.born_ms = update.born_ms
         self.placement.handle_update(ADDRESS, view)
 
     @stateful.rule()
@@ -195,19 +198,22 @@
     def nothing_of_a_former_start_is_believed(self) -> None:
         """What is held, fast to load and in use is that start's own."""
         COUNTS["checks"] += 1
-        own = _held(self.member.listing.born_ms)
+        expected = _residents_of(self.member.listing.born_ms)
         residents = self.placement.residents(self.member, NOW_MS)
-        assert set(residents) <= set(own), (residents, own)
+        assert set(residents) <= set(expected), (residents, expected)
         view = self.placement.view_of(self.member)
         if view is not None:
-            assert set(self.placement.warm[ADDRESS]) <= set(own)
+            assert set(self.placement.warm[ADDRESS]) <= set(expected)
 
     @stateful.invariant()
     def the_list_is_believed_in_the_end(self) -> None:
         """Once the newest entry was read, the start that runs gets work."""
-        newest = self.entries[-1]
-        told = newest.born_ms == self.born_ms
-        if not told or self.read_position < newest.changed_position:
+        newest = self.records[-1]
+        is_latest_current = newest.born_ms == self.born_ms
+        if (
+            not is_latest_current
+            or self.read_position < newest.changed_position
+        ):
             return
         if self.member.withheld is not None:
             self.roster.apply_withheld(NOW_MS)
--- a/proofs/usage.py
+++ b/proofs/usage.py
@@ -32,9 +32,9 @@
 # For the rounding of sums of floats.
 EPSILON = 1.0
 # A window that holds this part of the limit shows that the cap binds.
-AT_THE_CAP_PART = 0.8
+AT_CAP_FRACTION = 0.8
 
-Done = Callable[[bool], None]
+OnDone = Callable[[bool], None]
 
 
 @dataclasses.dataclass(slots=True)
@@ -143,16 +143,16 @@
         self.world = world
         self.name = name
         self.others = others
-        self.thaws_at_ms = 0
-        self.run = 0
+        self.resumes_at_ms = 0
+        self.incarnation = 0
         self._inbox: list[tuple[usage_loan.Message, str]] = []
         self.start(started_ms)
 
     def start(self, started_ms: int) -> None:
         """Starts the process again, with empty books."""
-        self.run += 1
+        self.incarnation += 1
         self._inbox.clear()
-        self.books = usage_books.UsageShares(
+        self.shares = usage_books.UsageShares(
             self.world.rules,
             lambda: self.others,
             lambda: self.world.count,
@@ -162,15 +162,15 @@
 
     def freeze(self, for_ms: int) -> None:
         """Stops the process for a while; messages wait for it."""
-        self.thaws_at_ms = self.world.now_ms + for_ms
-        self.world.after(for_ms, self._thaw)
+        self.resumes_at_ms = self.world.now_ms + for_ms
+        self.world.after(for_ms, self._resume)
 
     @property
     def is_frozen(self) -> bool:
         """Whether it stands still."""
-        return self.world.now_ms < self.thaws_at_ms
+        return self.world.now_ms < self.resumes_at_ms
 
-    def _thaw(self) -> None:
+    def _resume(self) -> None:
         if self.is_frozen:
             return
         waiting, self._inbox = self._inbox, []
@@ -179,13 +179,13 @@
 
     def _later(self, delay_ms: float, action: Callable[[], None]) -> None:
         """Schedules an action of this run of the process."""
-        run = self.run
+        incarnation = self.incarnation
 
         def act() -> None:
-            if run != self.run:
+            if incarnation != self.incarnation:
                 return
             if self.is_frozen:
-                self._later(self.thaws_at_ms - self.world.now_ms, action)
+                self._later(self.resumes_at_ms - self.world.now_ms, action)
                 return
             action()
 
@@ -201,29 +201,29 @@
     def _handle(self, message: usage_loan.Message, sender: str) -> None:
         now_ms = self.world.now_ms
         if isinstance(message, usage_loan.LoanRequest):
-            loan = self.books.lend(message, self.world.cap, now_ms)
+            loan = self.shares.lend(message, self.world.cap, now_ms)
             self.world.send(self.name, sender, loan)
         else:
-            self.books.on_loan(message, now_ms)
+            self.shares.on_loan(message, now_ms)
 
-    def request(self, cost: float, done: Done | None = None) -> None:
+    def request(self, cost: float, done: OnDone | None = None) -> None:
         """Admits or rejects one request, and sends it if admitted."""
         if self.is_frozen:
             return
         self._admit(cost, self.world.now_ms + LOAN_WAIT_MS, done)
 
-    def _admit(self, cost: float, until_ms: int, done: Done | None) -> None:
+    def _admit(self, cost: float, until_ms: int, done: OnDone | None) -> None:
         now_ms, cap = self.world.now_ms, self.world.cap
-        if self.books.reserve(ACCOUNT, cap, cost, now_ms) is not None:
-            if self.books.borrow_ahead_amount(ACCOUNT, cap, now_ms):
-                self._ask(0.0)
+        if self.shares.reserve(ACCOUNT, cap, cost, now_ms) is not None:
+            if self.shares.borrow_ahead_amount(ACCOUNT, cap, now_ms):
+                self._request_loans(0.0)
             self._send_soon(cost)
             if done is not None:
                 done(True)
             return
-        self._ask(self.books.missing(ACCOUNT, cap, cost, now_ms))
+        self._request_loans(self.shares.missing(ACCOUNT, cap, cost, now_ms))
         if (
-            self.books.is_borrowing_paused(ACCOUNT, now_ms)
+            self.shares.is_borrowing_paused(ACCOUNT, now_ms)
             or now_ms >= until_ms
         ):
             if done is not None:
@@ -236,11 +236,15 @@
         # The target gets it whatever becomes of this process; a frozen one
         # books anew first.
         delay_ms = self.world.random.choice((0, 0, 1, MAX_SEND_DELAY_MS))
-        run, booked_ms = self.run, self.world.now_ms
+        incarnation, reserved_at_ms = self.incarnation, self.world.now_ms
 
         def send() -> None:
-            late = self.world.now_ms - booked_ms > MAX_SEND_DELAY_MS
-            if run == self.run and not self.is_frozen and not late:
+            is_late = self.world.now_ms - reserved_at_ms > MAX_SEND_DELAY_MS
+            if (
+                incarnation == self.incarnation
+                and not self.is_frozen
+                and not is_late
+            ):
                 self.world.record(cost)
 
         if delay_ms:
@@ -248,9 +252,11 @@
         else:
             self.world.record(cost)
 
-    def _ask(self, need: float) -> None:
-        for lender, ask in self.books.ask(ACCOUNT, need, self.world.now_ms):
-            self.world.send(self.name, lender, ask)
+    def _request_loans(self, amount: float) -> None:
+        for lender, loan_request in self.shares.ask(
+            ACCOUNT, amount, self.world.now_ms
+        ):
+            self.world.send(self.name, lender, loan_request)
 
 
 class UsageMachine(stateful.RuleBasedStateMachine):
@@ -265,8 +271,8 @@
         super().__init__()
         self.world: World | None = None
         self.names: list[str] = []
-        self.caps: list[tuple[int, float]] = []
-        self.judged_ms = 0
+        self.former_caps: list[tuple[int, float]] = []
+        self.checked_until_ms = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed: int) -> None:
@@ -362,7 +368,7 @@
     @stateful.rule(part=st.sampled_from((0.2, 0.5, 1.0)))
     def change_cap(self, part: float) -> None:
         """The operator changes the cap; a lower one binds a window later."""
-        self.caps.append((self.world.now_ms, self._bound()))
+        self.former_caps.append((self.world.now_ms, self._bound()))
         self.world.cap = dataclasses.replace(
             self.CAP,
             rate_per_s=part * self.CAP.rate_per_s,
@@ -376,24 +382,26 @@
 
     def _allowed(self) -> float:
         """Returns what a window may hold that ends since the last judgement."""
-        binds_ms = self.RULES.window_ms + usage_loan.LOAN_TERM_MS
-        since_ms = self.judged_ms - binds_ms
-        lately = [bound for until_ms, bound in self.caps if until_ms > since_ms]
-        return max([self._bound(), *lately])
+        settle_ms = self.RULES.window_ms + usage_loan.LOAN_TERM_MS
+        since_ms = self.checked_until_ms - settle_ms
+        recent = [
+            bound for until_ms, bound in self.former_caps if until_ms > since_ms
+        ]
+        return max([self._bound(), *recent])
 
     @stateful.invariant()
     def no_window_exceeds_the_cap(self) -> None:
         """In no window is more sent than the rules allow."""
         if self.world is None:
             return
-        worst = self.world.worst_window(self.judged_ms)
+        worst = self.world.worst_window(self.checked_until_ms)
         allowed = self._allowed()
         assert worst <= allowed + EPSILON, f"{worst} of {allowed}"
         limit = self.world.cap.limit(self.RULES.window_ms)
-        COUNTS["judged at the cap"] += worst > AT_THE_CAP_PART * limit
-        self.judged_ms = self.world.now_ms
+        COUNTS["judged at the cap"] += worst > AT_CAP_FRACTION * limit
+        self.checked_until_ms = self.world.now_ms
         # Each window is judged once; an older history would slow the run.
-        oldest_ms = self.judged_ms - 2 * self.RULES.window_ms
+        oldest_ms = self.checked_until_ms - 2 * self.RULES.window_ms
         self.world.sent = [
             one for one in self.world.sent if one.at_ms >= oldest_ms
         ]
--- a/proofs/world.py
+++ b/proofs/world.py
@@ -26,12 +26,12 @@
 from radishstack.version import operation as operation_lib
 
 from proofs import actors
-from proofs import scene
+from proofs import deployment
 
-CHUNKS = 3
-SLOTS = 2
-READ_WINDOW = 2
-VERSION_FETCH_SHARE = 0.8
+CHUNKS_PER_RUN = 3
+ADAPTER_SLOTS = 2
+READ_WINDOW_CHUNKS = 2
+VERSION_FETCH_PROBABILITY = 0.8
 
 
 class ViolationError(AssertionError):
@@ -51,46 +51,50 @@
         self.random = random.Random(seed)
         self.counts = counts
         self.now_ms = 1_000
-        self.versions = [holder_lib.Held(1, "w1", scene.first_document())]
+        self.versions = [
+            holder_lib.Held(1, "w1", deployment.initial_document())
+        ]
         self.entry_versions = [0, 0]
         self.budget = retry_budget.RetryBudget()
         self.callers: list[actors.Caller] = []
-        self.net: list[actors.ToTarget | actors.ToCaller] = []
+        self.messages: list[
+            actors.MessageToTarget | actors.MessageToCaller
+        ] = []
         self.executions: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
         self.runs: set[tuple[bytes, int]] = set()
         self.attempts_run: set[bytes] = set()
         self.caller_of_attempt: dict[bytes, int] = {}
-        self.left_at_ms: dict[str, int] = {}
-        self.accepted_ms: dict[bytes, int] = {}
-        self.seal_answer = ledger_lib.SealReply.UNKNOWN
+        self.draining_since_ms: dict[str, int] = {}
+        self.submission_arrived_ms: dict[bytes, int] = {}
+        self.seal_reply = ledger_lib.SealReply.UNKNOWN
         self.nodes = {
             name: actors.Node(name, actors.Engine())
-            for name in (*scene.ENGINES, *scene.DESKS)
+            for name in (*deployment.ENGINES, *deployment.PLAIN_TARGETS)
         }
         for node in self.nodes.values():
             self.start(node, quarantine_ms=0)
 
     def start(
-        self, node: actors.Node, quarantine_ms: int = scene.WINDOW_MS
+        self, node: actors.Node, quarantine_ms: int = deployment.RETRY_WINDOW_MS
     ) -> None:
         """Starts the process of a slot."""
         kind = (
             checks.TargetKind.ENGINE
-            if node.name in scene.ENGINES
+            if node.name in deployment.ENGINES
             else checks.TargetKind.PLAIN
         )
         node.epoch += 1
         node.frozen = False
-        node.listed_leaving = False
+        node.listed_draining = False
         node.servings.clear()
         node.owners.clear()
-        node.machine = target_lib.Target(
+        node.state_machine = target_lib.Target(
             target_lib.TargetSettings(
                 name=node.name,
                 kind=kind,
-                slot_count=SLOTS,
+                slot_count=ADAPTER_SLOTS,
                 max_running=3,
                 max_queued=6,
                 quarantine_ms=quarantine_ms,
@@ -102,41 +106,41 @@
         )
         self.feed(node, event_lib.VersionActivated(self.versions[-1]))
         if kind is checks.TargetKind.ENGINE:
-            node.engine.fence = node.epoch * 1_000_000
-            self.look(node)
+            node.engine.fencing_token = node.epoch * 1_000_000
+            self.poll_engine(node)
 
     def feed(self, node: actors.Node, event: event_lib.Event) -> None:
         """Feeds an event to a process that is up."""
-        if node.machine is None or node.frozen:
+        if node.state_machine is None or node.frozen:
             return
-        for action in node.machine.handle(event, self.now_ms):
-            self.perform(node, action)
+        for action in node.state_machine.handle(event, self.now_ms):
+            self.perform_target_action(node, action)
 
-    def look(self, node: actors.Node) -> None:
+    def poll_engine(self, node: actors.Node) -> None:
         """Lets a process ask its engine for its state."""
-        seen = event_lib.EngineObserved(
+        observed = event_lib.EngineObserved(
             str(node.engine.incarnation),
             frozenset(node.engine.resident),
             self.now_ms,
         )
-        self.feed(node, seen)
+        self.feed(node, observed)
 
     def kill(self, node: actors.Node) -> None:
         """Kills a process: its runs lose their reader and are cancelled."""
-        node.machine = None
+        node.state_machine = None
         node.engine.runs.clear()
-        self.net = [
+        self.messages = [
             message
-            for message in self.net
+            for message in self.messages
             if not (
-                isinstance(message, actors.ToTarget)
+                isinstance(message, actors.MessageToTarget)
                 and message.node == node.name
             )
             or message.kind == "submit"
         ]
-        self.lose_readers(node)
+        self.cut_connections(node)
 
-    def lose_readers(self, node: actors.Node) -> None:
+    def cut_connections(self, node: actors.Node) -> None:
         """Cuts the connections to a process."""
         for caller in self.callers:
             exchange = caller.exchange
@@ -144,18 +148,18 @@
                 continue
             if exchange.target == node.name and caller.attempt_id:
                 attempt_id = caller.attempt_id
-                self.net = [
+                self.messages = [
                     message
-                    for message in self.net
-                    if not isinstance(message, actors.ToCaller)
+                    for message in self.messages
+                    if not isinstance(message, actors.MessageToCaller)
                     or message.attempt_id != attempt_id
                 ]
                 serving = node.servings.get(node.owners.get(attempt_id, b""))
                 if serving is not None:
                     serving.run.detach(attempt_id)
-                    serving.heads.discard(attempt_id)
-                self.net.append(
-                    actors.ToCaller(
+                    serving.head_sent_to.discard(attempt_id)
+                self.messages.append(
+                    actors.MessageToCaller(
                         caller.number, attempt_id, exchange_lib.ConnectionLost()
                     )
                 )
@@ -166,11 +170,13 @@
         engine.incarnation += 1
         engine.resident.clear()
         engine.orders.clear()
-        engine.fence = 0
+        engine.fencing_token = 0
         for attempt_id in list(engine.runs):
             self.end_run(node, attempt_id, cut=True)
 
-    def perform(self, node: actors.Node, action: event_lib.Action) -> None:
+    def perform_target_action(
+        self, node: actors.Node, action: event_lib.Action
+    ) -> None:
         """Performs what a target machine decided."""
         match action:
             case event_lib.Dispatch(attempt=attempt):
@@ -179,15 +185,15 @@
                 serving = node.servings.pop(attempt_id, None)
                 readers = serving.run.readers if serving else {}
                 for reader in readers:
-                    self.to_caller(reader, exchange_lib.Rejected(failure))
+                    self.send_to_caller(reader, exchange_lib.Rejected(failure))
             case event_lib.Join(attempt_id=attempt_id, owner_id=owner_id):
                 self.join(node, attempt_id, owner_id)
             case event_lib.StartLoad() | event_lib.StartUnload():
                 node.engine.orders.append((node.epoch, action))
             case event_lib.AskPriorHomes():
-                self.ask_priors(node, action)
+                self.ask_prior_homes(node, action)
             case event_lib.AnswerSeal(answer=answer):
-                self.seal_answer = answer
+                self.seal_reply = answer
             case event_lib.Abort(attempt_id=attempt_id):
                 self.end_run(node, attempt_id, cut=True)
             case event_lib.DropAnswers(attempt_ids=attempt_ids):
@@ -207,14 +213,14 @@
         if owner is None or not owner.run.whole:
             failure = result.Failure(result.ANSWER_NOT_KEPT, "not kept")
             for reader in own.run.readers:
-                self.to_caller(reader, exchange_lib.Rejected(failure))
+                self.send_to_caller(reader, exchange_lib.Rejected(failure))
             return
         node.owners[attempt_id] = owner_id
         for reader in list(own.run.readers):
             owner.run.attach(reader, 0)
         self.flush(owner)
 
-    def ask_priors(
+    def ask_prior_homes(
         self, node: actors.Node, action: event_lib.AskPriorHomes
     ) -> None:
         """Asks former homes; one that is down or frozen does not answer."""
@@ -222,40 +228,42 @@
         for name in action.targets:
             prior = self.nodes[name]
             answer = ledger_lib.SealReply.UNKNOWN
-            if prior.machine is not None and not prior.frozen:
+            if prior.state_machine is not None and not prior.frozen:
                 self.feed(
                     prior, event_lib.SealRequested(action.key, node.name, 0)
                 )
-                answer = self.seal_answer
+                answer = self.seal_reply
                 self.counts[f"seal {answer.name.lower()}"] += 1
             ran = answer is ledger_lib.SealReply.RAN
             if ran or worst is ledger_lib.SealReply.SEALED:
                 worst = answer
         event = event_lib.PriorHomesAnswered(action.attempt_id, worst)
         body = (action.attempt_id, event)
-        self.net.append(
-            actors.ToTarget(node.name, node.epoch, "priors", body, -1)
+        self.messages.append(
+            actors.MessageToTarget(node.name, node.epoch, "priors", body, -1)
         )
 
     def execute(self, node: actors.Node, attempt: attempt_lib.Attempt) -> None:
         """Executes an attempt at the engine or the service, and checks."""
         now_ms, key = self.now_ms, (attempt.service, attempt.key)
         caller = self.callers[self.caller_of_attempt[attempt.attempt_id]]
-        left_ms = self.left_at_ms.get(node.name)
-        if left_ms is not None and now_ms > left_ms:
-            accepted_ms = self.accepted_ms[attempt.attempt_id]
-            if accepted_ms > left_ms:
+        drain_started_ms = self.draining_since_ms.get(node.name)
+        if drain_started_ms is not None and now_ms > drain_started_ms:
+            submission_arrived_ms = self.submission_arrived_ms[
+                attempt.attempt_id
+            ]
+            if submission_arrived_ms > drain_started_ms:
                 raise ViolationError(f"{node.name} admitted after it left")
         if attempt.adapter and attempt.adapter not in node.engine.resident:
-            if node.machine.residency.incarnation == str(
+            if node.state_machine.residency.incarnation == str(
                 node.engine.incarnation
             ):
                 raise ViolationError(f"{attempt.adapter} is not resident")
             # It restarted cold and this was not noticed; it answers 404.
             self.counts["dispatches to a cold engine"] += 1
             body = (attempt.attempt_id, node.epoch)
-            self.net.append(
-                actors.ToTarget(node.name, node.epoch, "cold", body, -1)
+            self.messages.append(
+                actors.MessageToTarget(node.name, node.epoch, "cold", body, -1)
             )
             return
         if attempt.adapter and attempt.adapter != caller.adapter:
@@ -270,14 +278,14 @@
             if self.executions[key] > 1:
                 raise ViolationError(f"{key} ran {self.executions[key]} times")
             for other in self.callers:
-                told_no = (
+                reported_unexecuted = (
                     isinstance(other.outcome, result.Failure)
                     and other.outcome.executed is result.Executed.NO
                 )
                 if (
-                    told_no
+                    reported_unexecuted
                     and (other.service, other.key) == key
-                    and caller.submitted_ms < other.told_ms
+                    and caller.submitted_ms < other.replied_at_ms
                 ):
                     raise ViolationError(f"{key} ran after it was told no")
         node.engine.runs[attempt.attempt_id] = attempt.adapter
@@ -287,7 +295,7 @@
     def produce(self, node: actors.Node, attempt_id: bytes) -> None:
         """Lets the engine produce one chunk, or the end."""
         serving = node.servings[attempt_id]
-        if serving.run.total >= CHUNKS:
+        if serving.run.total >= CHUNKS_PER_RUN:
             self.end_run(node, attempt_id, cut=False)
             return
         adapter = node.engine.runs[attempt_id]
@@ -302,7 +310,7 @@
         """Ends a run at the engine and tells the process."""
         node.engine.runs.pop(attempt_id, None)
         serving = node.servings.get(attempt_id)
-        if node.machine is None or serving is None:
+        if node.state_machine is None or serving is None:
             return
         if serving.run.ended is None:
             failure = result.Failure(result.TARGET_FAILED, "lost")
@@ -312,7 +320,7 @@
         self.feed(node, event_lib.RunEnded(attempt_id))
         node.frozen = frozen
 
-    def end_cold(self, node: actors.Node, attempt_id: bytes) -> None:
+    def end_cold_run(self, node: actors.Node, attempt_id: bytes) -> None:
         """Ends a run that the engine refused, since it holds nothing."""
         serving = node.servings.get(attempt_id)
         if serving is None or serving.run.ended is not None:
@@ -323,37 +331,37 @@
         node.servings.pop(attempt_id, None)
         self.feed(node, event_lib.RunEnded(attempt_id, ran=False))
 
-    def flush(self, serving: actors.Serving) -> None:
+    def flush(self, serving: actors.ServedRun) -> None:
         """Sends the readers of a run what their windows allow."""
         run = serving.run
         for reader in list(run.readers):
-            if run.status and reader not in serving.heads:
-                serving.heads.add(reader)
+            if run.status and reader not in serving.head_sent_to:
+                serving.head_sent_to.add(reader)
                 started = exchange_lib.ResponseStarted(
                     200, "text", serving.adapter
                 )
-                self.to_caller(reader, started)
-            for number, payload in run.next_chunks(reader, READ_WINDOW):
-                self.to_caller(
+                self.send_to_caller(reader, started)
+            for number, payload in run.next_chunks(reader, READ_WINDOW_CHUNKS):
+                self.send_to_caller(
                     reader, exchange_lib.ChunkArrived(number, payload)
                 )
             if run.end_is_due(reader):
                 run.mark_end_sent(reader)
                 failure = run.ended.failure
-                self.to_caller(
+                self.send_to_caller(
                     reader, exchange_lib.EndArrived(run.total, failure)
                 )
 
-    def to_caller(self, attempt_id: bytes, event: object) -> None:
+    def send_to_caller(self, attempt_id: bytes, event: object) -> None:
         """Sends a message to whoever made an attempt."""
         number = self.caller_of_attempt[attempt_id]
-        self.net.append(actors.ToCaller(number, attempt_id, event))
+        self.messages.append(actors.MessageToCaller(number, attempt_id, event))
 
     def submit(self, service: str, adapter: str, key: str, entry: int) -> None:
         """Takes a caller's request at an entry."""
         self.now_ms += 1
         held = self.versions[self.entry_versions[entry]]
-        asked = resolve.RoutingFields(
+        routing_fields = resolve.RoutingFields(
             request_id=str(len(self.callers)),
             model="" if service == "book" else adapter,
             service="book" if service == "book" else "",
@@ -361,7 +369,7 @@
             timeout_text="",
             headers={},
         )
-        resolution = resolve.resolve(asked, held)
+        resolution = resolve.resolve(routing_fields, held)
         if isinstance(resolution, result.Failure):
             return
         caller = actors.Caller(
@@ -379,9 +387,11 @@
         )
         self.callers.append(caller)
         self.counts["submissions"] += 1
-        self.act(caller, caller.exchange.start())
+        self.perform_exchange_actions(caller, caller.exchange.start())
 
-    def act(self, caller: actors.Caller, actions: exchange_lib.Actions) -> None:
+    def perform_exchange_actions(
+        self, caller: actors.Caller, actions: exchange_lib.Actions
+    ) -> None:
         """Performs what an exchange decided."""
         exchange = caller.exchange
         for action in actions:
@@ -400,9 +410,11 @@
                     exchange.resolution = dataclasses.replace(
                         exchange.resolution, version=newest.version
                     )
-                    self.act(caller, exchange.rehomed(list(homes), self.now_ms))
+                    self.perform_exchange_actions(
+                        caller, exchange.rehomed(list(homes), self.now_ms)
+                    )
                 case exchange_lib.ForwardHead(adapter=adapter):
-                    caller.told_adapter = adapter
+                    caller.response_adapter = adapter
                 case exchange_lib.ForwardChunk(payload=payload):
                     caller.chunks.append(payload)
                 case exchange_lib.Finish():
@@ -415,8 +427,8 @@
     def send(self, caller: actors.Caller, name: str) -> None:
         """Submits a new attempt."""
         node = self.nodes[name]
-        if node.machine is None:
-            self.act(
+        if node.state_machine is None:
+            self.perform_exchange_actions(
                 caller,
                 caller.exchange.handle(
                     exchange_lib.ConnectFailed(), self.now_ms
@@ -437,27 +449,31 @@
             key=caller.key,
             digest=b"d",
             accepted_at_ms=caller.submitted_ms,
-            deadline_at_ms=caller.submitted_ms + scene.TIMEOUT_MS,
+            deadline_at_ms=caller.submitted_ms + deployment.TIMEOUT_MS,
             method="POST",
             path="/",
             content_type="",
             body=b"",
             streams=True,
         )
-        self.net.append(
-            actors.ToTarget(name, node.epoch, "submit", attempt, caller.number)
+        self.messages.append(
+            actors.MessageToTarget(
+                name, node.epoch, "submit", attempt, caller.number
+            )
         )
 
     def resume(self, caller: actors.Caller, name: str, number: int) -> None:
         """Attaches to a run again over another connection."""
         node = self.nodes[name]
-        if node.machine is None:
+        if node.state_machine is None:
             actions = exchange_lib.resume_failed(caller.exchange, self.now_ms)
-            self.act(caller, actions)
+            self.perform_exchange_actions(caller, actions)
             return
         body = (caller.attempt_id, number)
-        self.net.append(
-            actors.ToTarget(name, node.epoch, "attach", body, caller.number)
+        self.messages.append(
+            actors.MessageToTarget(
+                name, node.epoch, "attach", body, caller.number
+            )
         )
 
     def close(self, caller: actors.Caller) -> None:
@@ -467,8 +483,8 @@
             return
         epoch = self.nodes[name].epoch
         body = caller.attempt_id
-        self.net.append(
-            actors.ToTarget(name, epoch, "close", body, caller.number)
+        self.messages.append(
+            actors.MessageToTarget(name, epoch, "close", body, caller.number)
         )
 
     def finish(
@@ -478,11 +494,11 @@
         if caller.outcome is not None:
             raise ViolationError(f"two outcomes for {caller}")
         caller.outcome = outcome
-        caller.told_ms = self.now_ms
+        caller.replied_at_ms = self.now_ms
         name = outcome if isinstance(outcome, str) else outcome.code.name
         self.counts[f"outcome {name}"] += 1
         if outcome == "ok":
-            self.check_whole(caller)
+            self.check_success(caller)
         elif outcome.executed is result.Executed.NO:
             if any(one in self.attempts_run for one in caller.attempts):
                 raise ViolationError(f"told no, but it ran: {caller}")
@@ -491,60 +507,64 @@
                 raise ViolationError(f"told no, but its key ran: {caller}")
         self.close(caller)
 
-    def check_whole(self, caller: actors.Caller) -> None:
+    def check_success(self, caller: actors.Caller) -> None:
         """Checks a success: every chunk, in order, of one run of its own."""
         parts = [chunk.decode().split(":") for chunk in caller.chunks]
         numbers = [int(part[2]) for part in parts]
         runs = {part[1] for part in parts}
         adapters = {part[0] for part in parts}
-        if numbers != list(range(CHUNKS)):
+        if numbers != list(range(CHUNKS_PER_RUN)):
             raise ViolationError(f"not whole: {caller.chunks}")
-        if len(runs) != 1 or adapters != {caller.told_adapter}:
+        if len(runs) != 1 or adapters != {caller.response_adapter}:
             raise ViolationError(f"mixed answers: {caller.chunks}")
         owner = self.callers[self.caller_of_attempt[bytes.fromhex(runs.pop())]]
-        if caller.told_adapter != owner.adapter:
+        if caller.response_adapter != owner.adapter:
             raise ViolationError("ran on another adapter than was asked for")
-        mine = (caller.service, caller.key) if caller.key else caller.number
-        theirs = (owner.service, owner.key) if owner.key else owner.number
-        if mine != theirs:
+        caller_scope = (
+            (caller.service, caller.key) if caller.key else caller.number
+        )
+        owner_scope = (owner.service, owner.key) if owner.key else owner.number
+        if caller_scope != owner_scope:
             raise ViolationError("somebody else's answer")
 
     def deliver(self, index: int, *, repeat: bool = False) -> None:
         """Delivers one message on its way, or a copy of it."""
-        if not self.net:
+        if not self.messages:
             return
-        index %= len(self.net)
-        message = self.net[index]
-        if isinstance(message, actors.ToTarget):
+        index %= len(self.messages)
+        message = self.messages[index]
+        if isinstance(message, actors.MessageToTarget):
             node = self.nodes[message.node]
-            if node.frozen and node.machine is not None:
+            if node.frozen and node.state_machine is not None:
                 return
         if not repeat:
-            del self.net[index]
-        if isinstance(message, actors.ToCaller):
+            del self.messages[index]
+        if isinstance(message, actors.MessageToCaller):
             self.deliver_to_caller(message)
         else:
             self.deliver_to_target(message)
 
-    def deliver_to_caller(self, message: actors.ToCaller) -> None:
+    def deliver_to_caller(self, message: actors.MessageToCaller) -> None:
         """Hands a message to its request, unless its stream was closed."""
         caller = self.callers[message.caller]
         if caller.attempt_id != message.attempt_id or caller.exchange.done:
             return
-        self.act(caller, caller.exchange.handle(message.event, self.now_ms))
+        self.perform_exchange_actions(
+            caller, caller.exchange.handle(message.event, self.now_ms)
+        )
         if isinstance(message.event, exchange_lib.ChunkArrived):
             node = self.nodes[caller.exchange.target]
             owner_id = node.owners.get(message.attempt_id, b"")
             serving = node.servings.get(owner_id)
-            if serving is not None and node.machine is not None:
+            if serving is not None and node.state_machine is not None:
                 acked = caller.exchange.sequence.expected
                 serving.run.ack(message.attempt_id, acked)
                 self.flush(serving)
 
-    def deliver_to_target(self, message: actors.ToTarget) -> None:
+    def deliver_to_target(self, message: actors.MessageToTarget) -> None:
         """Hands a message to a target process."""
         node = self.nodes[message.node]
-        if node.machine is None:
+        if node.state_machine is None:
             return
         if message.kind == "submit":
             self.deliver_submit(node, message.body)
@@ -559,20 +579,20 @@
             case "priors":
                 self.feed(node, message.body[1])
             case "cold":
-                self.end_cold(node, message.body[0])
+                self.end_cold_run(node, message.body[0])
 
     def deliver_submit(
         self, node: actors.Node, attempt: attempt_lib.Attempt
     ) -> None:
         """Takes a submission, which may be a late copy."""
-        self.accepted_ms[attempt.attempt_id] = self.now_ms
-        if self.random.random() < VERSION_FETCH_SHARE:
+        self.submission_arrived_ms[attempt.attempt_id] = self.now_ms
+        if self.random.random() < VERSION_FETCH_PROBABILITY:
             held = self.versions[attempt.version - 1]
             self.feed(node, event_lib.VersionActivated(held))
         if attempt.attempt_id not in node.servings:
             keep_bytes = 10_000 if attempt.key else 0
             run = run_lib.Run(keep_bytes=keep_bytes)
-            serving = actors.Serving(run, attempt.adapter)
+            serving = actors.ServedRun(run, attempt.adapter)
             serving.run.attach(attempt.attempt_id, 0)
             node.servings.setdefault(attempt.attempt_id, serving)
             node.owners.setdefault(attempt.attempt_id, attempt.attempt_id)
@@ -586,9 +606,9 @@
         if serving is None or not serving.run.attach(attempt_id, number):
             caller = self.callers[self.caller_of_attempt[attempt_id]]
             actions = exchange_lib.resume_failed(caller.exchange, self.now_ms)
-            self.act(caller, actions)
+            self.perform_exchange_actions(caller, actions)
             return
-        serving.heads.discard(attempt_id)
+        serving.head_sent_to.discard(attempt_id)
         self.flush(serving)
 
     def deliver_close(self, node: actors.Node, attempt_id: bytes) -> None:
@@ -605,7 +625,7 @@
         elif not serving.run.keep_bytes:
             node.servings.pop(owner_id, None)
 
-    def obey(self, node: actors.Node, index: int, fate: int) -> None:
+    def execute_order(self, node: actors.Node, index: int, fate: int) -> None:
         """Lets an engine take one order on its way.
 
         Args:
@@ -618,23 +638,27 @@
         if not engine.orders:
             return
         epoch, order = engine.orders.pop(index % len(engine.orders))
-        if order.order < engine.fence:
+        if order.order < engine.fencing_token:
             self.counts["orders fenced off"] += 1
             return
-        engine.fence = order.order
+        engine.fencing_token = order.order
         # An engine refuses a load that it has no slot for.
         failed = fate == 1 or (
             isinstance(order, event_lib.StartLoad)
-            and len(engine.resident - {order.adapter}) >= SLOTS
+            and len(engine.resident - {order.adapter}) >= ADAPTER_SLOTS
         )
-        answering = str(engine.incarnation)
+        engine_incarnation = str(engine.incarnation)
         if isinstance(order, event_lib.StartLoad):
             if not failed:
                 engine.resident.add(order.adapter)
             event = (
-                event_lib.LoadFailed(order.adapter, answering, order.order, "x")
+                event_lib.LoadFailed(
+                    order.adapter, engine_incarnation, order.order, "x"
+                )
                 if failed
-                else event_lib.Loaded(order.adapter, answering, order.order)
+                else event_lib.Loaded(
+                    order.adapter, engine_incarnation, order.order
+                )
             )
         else:
             if not failed:
@@ -642,17 +666,23 @@
                     raise ViolationError(f"{order.adapter} unloaded in use")
                 engine.resident.discard(order.adapter)
             event = (
-                event_lib.UnloadFailed(order.adapter, answering, order.order)
+                event_lib.UnloadFailed(
+                    order.adapter, engine_incarnation, order.order
+                )
                 if failed
-                else event_lib.Unloaded(order.adapter, answering, order.order)
+                else event_lib.Unloaded(
+                    order.adapter, engine_incarnation, order.order
+                )
             )
-        if len(engine.resident) > SLOTS:
+        if len(engine.resident) > ADAPTER_SLOTS:
             raise ViolationError("more adapters than slots")
         if epoch == node.epoch and not node.frozen:
             self.feed(node, event)
         elif epoch == node.epoch:
-            self.net.append(
-                actors.ToTarget(node.name, epoch, "priors", (b"", event), -1)
+            self.messages.append(
+                actors.MessageToTarget(
+                    node.name, epoch, "priors", (b"", event), -1
+                )
             )
 
     def advance(self, by_ms: int) -> None:
@@ -663,14 +693,14 @@
         for caller in self.callers:
             exchange = caller.exchange
             if not exchange.done and self.now_ms > exchange.deadline_at_ms:
-                self.act(
+                self.perform_exchange_actions(
                     caller,
                     exchange.handle(
                         exchange_lib.DeadlineExpired(), self.now_ms
                     ),
                 )
 
-    def change(self, operation: operation_lib.Operation) -> None:
+    def change_configuration(self, operation: operation_lib.Operation) -> None:
         """Accepts a configuration change, if it is valid."""
         held = self.versions[-1]
         document = operation_lib.apply(
@@ -685,24 +715,27 @@
         number = held.version + 1
         self.versions.append(holder_lib.Held(number, f"w{number}", document))
 
-    def leave(self, node: actors.Node) -> None:
+    def start_draining(self, node: actors.Node) -> None:
         """Lets a process learn that its VM leaves."""
-        if node.machine is None or node.frozen:
+        if node.state_machine is None or node.frozen:
             return
         self.feed(node, event_lib.DrainRequested())
-        self.left_at_ms[node.name] = self.now_ms
+        self.draining_since_ms[node.name] = self.now_ms
 
     def check(self) -> None:
         """Checks what must hold after every step."""
         for node in self.nodes.values():
-            if node.machine is None or node.name not in scene.ENGINES:
+            if (
+                node.state_machine is None
+                or node.name not in deployment.ENGINES
+            ):
                 continue
-            residency = node.machine.residency
+            residency = node.state_machine.residency
             if residency.incarnation != str(node.engine.incarnation):
                 continue
             grants = collections.Counter(
                 one.grant.adapter
-                for one in node.machine.running.values()
+                for one in node.state_machine.running.values()
                 if one.grant.incarnation == residency.incarnation
             )
             for adapter, slot in residency.slots.items():
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -168,7 +168,7 @@
     chosen = [one for one in MUTANTS if only in one.promise]
     caught_count = 0
     for mutant in chosen:
-        caught, line = mutants.catches(mutant)
+        caught, line = mutants.run_mutant(mutant)
         caught_count += caught
         word = "caught" if caught else "MISSED"
         click.echo(f"{word}  {mutant.promise}: {line[:100]}")
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -343,5 +343,5 @@
             world.after(at_ms, lambda gateway=gateway: gateway.request(250.0))
     world.run_until(world.now_ms + 5_000)
     limit = usage.UsageMachine.CAP.limit(usage.UsageMachine.RULES.window_ms)
-    assert world.worst_window() > usage.AT_THE_CAP_PART * limit
+    assert world.worst_window() > usage.AT_CAP_FRACTION * limit
     assert usage.COUNTS["judged at the cap"] == before
--- a/tests/stack/test_mutants.py
+++ b/tests/stack/test_mutants.py
@@ -8,7 +8,7 @@
 PACKAGES = pathlib.Path(__file__).parents[2] / "packages"
 
 
-def test_each_mutant_finds_its_place() -> None:
+def test_each_mutant_matches_exactly_once() -> None:
     """A promise seems proved though its mutant changes nothing any more.
 
     The code that a mutant changed was rewritten, and nobody ran the mutant
--- a/tests/stack/test_proofs.py
+++ b/tests/stack/test_proofs.py
@@ -23,7 +23,7 @@
     assert publication.COUNTS["accepted"] > 50
 
 
-def test_only_what_ends_targets_is_refused() -> None:
+def test_only_crashing_requests_are_quarantined() -> None:
     """Crashes, cuts of power, equal requests; words lost, twice and late."""
     for seed in (1, 2, 3):
         runner.run(crashes.CrashesMachine, seed=seed, examples=100, steps=60)
@@ -32,10 +32,12 @@
     assert crashes.COUNTS["cleared"] > 50
 
 
-def test_nothing_of_a_former_start_is_believed() -> None:
+def test_state_of_former_incarnations_is_ignored() -> None:
     """Restarts under one name; entries, words and reports in any order."""
     for seed in (1, 2, 3, 4, 5, 8, 9, 210):
-        runner.run(starts.StartsMachine, seed=seed, examples=100, steps=60)
+        runner.run(
+            starts.IncarnationsMachine, seed=seed, examples=100, steps=60
+        )
     assert starts.COUNTS["fault restart"] > 100
     assert starts.COUNTS["fault late write"] > 20
     assert starts.COUNTS["fault restore"] > 100
--- a/tests/stack/test_target.py
+++ b/tests/stack/test_target.py
@@ -11,13 +11,13 @@
 from radishstack.version import checks
 from radishstack.version import holder as holder_lib
 
-from proofs import scene
+from proofs import deployment
 
-WINDOW_MS = scene.WINDOW_MS
+RETRY_WINDOW_MS = deployment.RETRY_WINDOW_MS
 
 
 def _target(name: str, *, quarantine_ms: int = 0) -> target_lib.Target:
-    engine = name in scene.ENGINES
+    engine = name in deployment.ENGINES
     kind = "engine" if engine else "plain"
     target = target_lib.Target(
         target_lib.TargetSettings(
@@ -30,7 +30,7 @@
         random_source=random.Random(1),
         budget=load_budget.BudgetSettings(1_000.0, 100.0),
     )
-    held = holder_lib.Held(1, "w1", scene.first_document())
+    held = holder_lib.Held(1, "w1", deployment.initial_document())
     target.handle(event_lib.VersionActivated(held), 0)
     if engine:
         seen = event_lib.EngineObserved("1", frozenset(), 0)
@@ -68,7 +68,7 @@
 
 def _home_keys(name: str, count: int) -> list[str]:
     """Returns keys whose home is the given desk."""
-    targets = scene.DESKS[:2]
+    targets = deployment.PLAIN_TARGETS[:2]
     keys = (f"k{index}" for index in range(1_000))
     mine = (k for k in keys if resolve.home_of("book", k, targets) == name)
     return [next(mine) for _ in range(count)]
@@ -132,12 +132,12 @@
 
 def test_restarted_home_answers_unknown_until_quarantine_ends() -> None:
     """An empty ledger is no proof that a key never ran."""
-    desk = _target("desk-1", quarantine_ms=WINDOW_MS)
+    desk = _target("desk-1", quarantine_ms=RETRY_WINDOW_MS)
     key = _home_keys("desk-1", 1)[0]
     early = _submit(desk, _attempt(1, key=key), 5)
     assert early.failure.code is result.KEY_QUARANTINED
     assert early.failure.executed is result.Executed.UNKNOWN
-    assert early.failure.retry_after_ms == WINDOW_MS - 5
+    assert early.failure.retry_after_ms == RETRY_WINDOW_MS - 5
 
 
 def test_deadline_that_cannot_be_met_is_rejected_at_once() -> None:
