--- a/proofs/actors.py
+++ b/proofs/actors.py
@@ -44,7 +44,7 @@
     engine: Engine
     state_machine: target_lib.Target | None = None
     epoch: int = 0
-    frozen: bool = False
+    paused: bool = False
     listed_draining: bool = False
     servings: dict[bytes, ServedRun] = dataclasses.field(default_factory=dict)
     owners: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
--- a/proofs/publication.py
+++ b/proofs/publication.py
@@ -151,7 +151,7 @@
             COUNTS["fault lost answer"] += 1
         event = self._perform(operator, outcome)
         operator.step = operator.publisher.handle(event)
-        self._settle(operator)
+        self._record_outcome(operator)
 
     def _perform(self, operator: Operator, outcome: int) -> publish.Event:
         match operator.step:
@@ -183,7 +183,7 @@
             self.store.chain(held.version),
         )
 
-    def _settle(self, operator: Operator) -> None:
+    def _record_outcome(self, operator: Operator) -> None:
         write_id = operator.publisher.proposal.write_id
         match operator.step:
             case publish.Accepted(version=version):
--- a/proofs/serving.py
+++ b/proofs/serving.py
@@ -99,7 +99,7 @@
             case "kill" if node.state_machine is not None:
                 self.world.kill(node)
             case "freeze":
-                node.frozen = True
+                node.paused = True
             case "cut":
                 self.world.cut_connections(node)
             case "leaving":
@@ -113,7 +113,7 @@
     def mend(self, name: str) -> None:
         """Starts what is down, thaws what is frozen, replaces what left."""
         node = self.world.nodes[name]
-        node.frozen = False
+        node.paused = False
         if node.state_machine is not None and node.state_machine.leaving:
             self.world.kill(node)
         if node.state_machine is None:
@@ -141,7 +141,7 @@
 
     def produce_all(self, node: actors.Node) -> None:
         """Lets a target's runs go on by one chunk."""
-        if node.state_machine is None or node.frozen:
+        if node.state_machine is None or node.paused:
             return
         for attempt_id in list(node.engine.runs):
             if attempt_id in node.engine.runs:
--- a/proofs/usage.py
+++ b/proofs/usage.py
@@ -160,18 +160,18 @@
             self.world.random,
         )
 
-    def freeze(self, for_ms: int) -> None:
+    def pause(self, for_ms: int) -> None:
         """Stops the process for a while; messages wait for it."""
         self.resumes_at_ms = self.world.now_ms + for_ms
         self.world.after(for_ms, self._resume)
 
     @property
-    def is_frozen(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether it stands still."""
         return self.world.now_ms < self.resumes_at_ms
 
     def _resume(self) -> None:
-        if self.is_frozen:
+        if self.is_paused:
             return
         waiting, self._inbox = self._inbox, []
         for message, sender in waiting:
@@ -184,7 +184,7 @@
         def act() -> None:
             if incarnation != self.incarnation:
                 return
-            if self.is_frozen:
+            if self.is_paused:
                 self._later(self.resumes_at_ms - self.world.now_ms, action)
                 return
             action()
@@ -193,7 +193,7 @@
 
     def receive(self, message: usage_loan.Message, sender: str) -> None:
         """Takes a message, now or once it goes on."""
-        if self.is_frozen:
+        if self.is_paused:
             self._inbox.append((message, sender))
         else:
             self._handle(message, sender)
@@ -208,7 +208,7 @@
 
     def request(self, cost: float, done: OnDone | None = None) -> None:
         """Admits or rejects one request, and sends it if admitted."""
-        if self.is_frozen:
+        if self.is_paused:
             return
         self._admit(cost, self.world.now_ms + LOAN_WAIT_MS, done)
 
@@ -242,7 +242,7 @@
             is_late = self.world.now_ms - reserved_at_ms > MAX_SEND_DELAY_MS
             if (
                 incarnation == self.incarnation
-                and not self.is_frozen
+                and not self.is_paused
                 and not is_late
             ):
                 self.world.record(cost)
@@ -345,7 +345,7 @@
     )
     def freeze(self, at: int, for_ms: int) -> None:
         """A gateway stands still."""
-        self.world.gateways[self.names[at]].freeze(for_ms)
+        self.world.gateways[self.names[at]].pause(for_ms)
         COUNTS["fault freeze"] += 1
 
     @stateful.rule(at=st.integers(0, GATEWAYS - 1), known=st.integers(0, 31))
--- a/proofs/world.py
+++ b/proofs/world.py
@@ -86,7 +86,7 @@
             else checks.TargetKind.PLAIN
         )
         node.epoch += 1
-        node.frozen = False
+        node.paused = False
         node.listed_draining = False
         node.servings.clear()
         node.owners.clear()
@@ -111,7 +111,7 @@
 
     def feed(self, node: actors.Node, event: event_lib.Event) -> None:
         """Feeds an event to a process that is up."""
-        if node.state_machine is None or node.frozen:
+        if node.state_machine is None or node.paused:
             return
         for action in node.state_machine.handle(event, self.now_ms):
             self.perform_target_action(node, action)
@@ -228,7 +228,7 @@
         for name in action.targets:
             prior = self.nodes[name]
             answer = ledger_lib.SealReply.UNKNOWN
-            if prior.state_machine is not None and not prior.frozen:
+            if prior.state_machine is not None and not prior.paused:
                 self.feed(
                     prior, event_lib.SealRequested(action.key, node.name, 0)
                 )
@@ -316,9 +316,9 @@
             failure = result.Failure(result.TARGET_FAILED, "lost")
             serving.run.end(failure if cut else None)
         self.flush(serving)
-        frozen, node.frozen = node.frozen, False
+        paused, node.paused = node.paused, False
         self.feed(node, event_lib.RunEnded(attempt_id))
-        node.frozen = frozen
+        node.paused = paused
 
     def end_cold_run(self, node: actors.Node, attempt_id: bytes) -> None:
         """Ends a run that the engine refused, since it holds nothing."""
@@ -535,7 +535,7 @@
         message = self.messages[index]
         if isinstance(message, actors.MessageToTarget):
             node = self.nodes[message.node]
-            if node.frozen and node.state_machine is not None:
+            if node.paused and node.state_machine is not None:
                 return
         if not repeat:
             del self.messages[index]
@@ -676,7 +676,7 @@
             )
         if len(engine.resident) > ADAPTER_SLOTS:
             raise ViolationError("more adapters than slots")
-        if epoch == node.epoch and not node.frozen:
+        if epoch == node.epoch and not node.paused:
             self.feed(node, event)
         elif epoch == node.epoch:
             self.messages.append(
@@ -717,7 +717,7 @@
 
     def start_draining(self, node: actors.Node) -> None:
         """Lets a process learn that its VM leaves."""
-        if node.state_machine is None or node.frozen:
+        if node.state_machine is None or node.paused:
             return
         self.feed(node, event_lib.DrainRequested())
         self.draining_since_ms[node.name] = self.now_ms
