--- a/proofs/__init__.py
+++ b/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Randomised proofs of what must always hold, and the mutants they catch."""
+"""Randomised tests of the system's invariants, and mutants they must catch."""
--- a/proofs/actors.py
+++ b/proofs/actors.py
@@ -1,4 +1,4 @@
-"""Who takes part in the world of the proofs, and what they tell each other."""
+"""Simulated processes and callers, and the messages between them."""
 
 import dataclasses
 
@@ -10,14 +10,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """What stands behind a target process.
+    """The simulated engine or plain service behind a target process.
 
     Attributes:
         incarnation: Changes with every restart.
-        resident: Adapters it holds.
-        runs: What it runs: adapter by attempt id, None at a plain service.
-        orders: Orders on their way to it, with the epoch of their sender.
-        fence: Highest fencing number seen.
+        resident: Adapters that are loaded.
+        runs: Running attempts: adapter by attempt id, empty at a plain service.
+        orders: Load and unload orders in flight, each with the epoch of the
+            process that sent it.
+        fencing_token: Highest order number received; lower ones are ignored.
     """
 
     incarnation: int = 1
@@ -29,7 +30,13 @@
 
 @dataclasses.dataclass(slots=True)
 class ServedRun:
-    """A run at a target process, as its driver keeps it."""
+    """A run at a target process and the state that its driver keeps.
+
+    Attributes:
+        run: The run with its readers.
+        adapter: Its adapter, empty at a plain service.
+        head_sent_to: Attempts that the response head was sent to.
+    """
 
     run: run_lib.Run
     adapter: str
@@ -38,7 +45,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """A target VM: the slot's process and what stands behind it."""
+    """A target VM: the target process and the engine or service behind it.
+
+    Attributes:
+        name: Name of the target.
+        engine: The engine or service.
+        state_machine: The process, None while it is down.
+        epoch: Number of process starts.
+        paused: Whether the process is paused.
+        listed_draining: Not used.
+        servings: Runs by attempt id.
+        owners: Attempt id of the run that each attempt reads.
+    """
 
     name: str
     engine: Engine
@@ -52,7 +70,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Caller:
-    """One submission of a request."""
+    """One submission of a request.
+
+    Attributes:
+        number: Index among all callers.
+        service: Name of the service.
+        adapter: Adapter that was requested.
+        key: Idempotency key, empty without one.
+        submitted_ms: Time of the submission.
+        exchange: The exchange at the entry.
+        attempt_id: The latest attempt.
+        attempts: All attempts.
+        chunks: Chunks that the caller received.
+        response_adapter: Adapter that the response head named.
+        outcome: "ok" or the failure, None while the request is open.
+        replied_at_ms: Time of the outcome.
+    """
 
     number: int
     service: str
@@ -81,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MessageToCaller:
-    """A message to a request at its entry."""
+    """A message to the exchange of a request."""
 
     caller: int
     attempt_id: bytes
--- a/proofs/crashes.py
+++ b/proofs/crashes.py
@@ -1,7 +1,7 @@
-"""The state machine over requests that end targets, and others beside them.
+"""State machine over requests that crash targets, and requests beside them.
 
-Gateways see crashes and requests that end well, and tell each other; words are
-lost, come twice and in any order, gateways restart knowing nothing.
+Gateways observe crashes and successful requests and report them to each other.
+Reports are lost, duplicated and reordered; gateways restart without state.
 """
 
 import collections
@@ -18,27 +18,27 @@
 GATEWAY_COUNT = 3
 POISON = "50" * 16
 POPULAR = "07" * 16
-# A target runs a request for longer than a word takes, and nobody sends the
-# next one sooner; gateways could not agree on what came first otherwise.
+# Each run, and the time until the next request, is longer than the delay of a
+# report. Otherwise gateways could not agree on the order of events.
 MIN_RUN_MS = 30
 MAX_RUN_MS = 900
-# On the road of a word.
 REPORT_DELAY_MS = 3
 MAX_PAUSE_MS = 30_000
 MAX_NEIGHBOURS = 6
-# Targets that may end under a request that is always refused by those who
-# know, if no word is lost.
+# Targets that a request may crash before all gateways quarantine it, if no
+# report is lost.
 MAX_CRASHED_TARGETS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """A datagram on its way.
+    """A datagram in flight.
 
     Attributes:
-        to: Number of the gateway.
-        by: Number of the gateway that told it, -1 for the store.
-        data: Its bytes.
+        receiver: Number of the gateway that receives it.
+        sender: Number of the gateway that sent it, -1 for the store.
+        data: The encoded message.
+        sent_at_ms: Time of sending.
     """
 
     receiver: int
@@ -48,10 +48,10 @@
 
 
 class CrashesMachine(stateful.RuleBasedStateMachine):
-    """Gateways; one request that ends targets, a popular one, many others."""
+    """Gateways, a crashing request, a popular request and many others."""
 
     def __init__(self) -> None:
-        """Starts with gateways that know nothing."""
+        """Starts with gateways that have no evidence."""
         super().__init__()
         self.now_ms = 100_000
         self.gateways = [
@@ -89,7 +89,7 @@
         incarnation_id: incarnation.IncarnationId,
         requests_by_gateway: dict[int, list[tuple[str, int]]],
     ) -> None:
-        """Ends a target; each gateway sees its own requests break off."""
+        """Crashes a target; each gateway observes its own aborted requests."""
         for number, requests in requests_by_gateway.items():
             suspects = tuple(
                 crash_lib.Suspect(fingerprint, began_ms)
@@ -99,7 +99,7 @@
             self._send(number, self.gateways[number].crashed(crash))
 
     def _new_neighbours(self, count: int) -> list[tuple[str, int]]:
-        """Returns requests of others, each of them asked once."""
+        """Returns other requests, each of which is sent only once."""
         fresh = [
             f"{len(self.neighbours) + number:032x}" for number in range(count)
         ]
@@ -135,7 +135,7 @@
     def poison_comes(
         self, number: int, run_ms: int, beside: list[int], popular_at: int
     ) -> None:
-        """It ends its target, unless it is refused; others run there too."""
+        """The request crashes its target and aborts others, unless rejected."""
         if not self._may_send(number, POISON):
             COUNTS["refused"] += 1
             return
@@ -156,7 +156,7 @@
 
     @stateful.rule(count=st.integers(2, 8), spread_ms=st.integers(0, 200))
     def power_is_cut(self, count: int, spread_ms: int) -> None:
-        """Many targets end at one moment, popular requests on all of them."""
+        """Many targets crash simultaneously; all run the popular request."""
         self.now_ms += MIN_RUN_MS
         began_ms = self.now_ms
         self.now_ms += MAX_RUN_MS
@@ -177,7 +177,7 @@
 
     @stateful.rule(number=st.integers(0, GATEWAY_COUNT - 1))
     def popular_ends_well(self, number: int) -> None:
-        """One of the many equal requests is answered."""
+        """One instance of the popular request succeeds."""
         if not self._may_send(number, POPULAR):
             return
         self.now_ms += MIN_RUN_MS
@@ -189,7 +189,7 @@
 
     @stateful.rule(pick=st.integers(0, 10**6), keep=st.booleans())
     def word_arrives(self, pick: int, keep: bool) -> None:
-        """Any word, in any order; one that is kept comes once more."""
+        """A report arrives, in any order; a kept one arrives again later."""
         if not self.reports:
             return
         index = pick % len(self.reports)
@@ -210,7 +210,7 @@
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def word_is_lost(self, pick: int) -> None:
-        """Datagrams are lost."""
+        """A report is lost."""
         if self.reports:
             self.reports.pop(pick % len(self.reports))
             self.any_report_lost = True
@@ -218,7 +218,7 @@
 
     @stateful.rule(number=st.integers(0, GATEWAY_COUNT - 1))
     def gateway_restarts(self, number: int) -> None:
-        """It knows nothing, and asks another."""
+        """A gateway loses its state and requests that of another one."""
         self.gateways[number] = crash_evidence.CrashEvidence()
         other = (number + 1) % GATEWAY_COUNT
         self._send(other, list(self.gateways[other].recurring()), only=number)
@@ -227,7 +227,7 @@
 
     @stateful.rule(pause_ms=st.integers(0, MAX_PAUSE_MS))
     def time_passes(self, pause_ms: int) -> None:
-        """All words on their way arrive, and what matters is passed on."""
+        """All reports in flight arrive, and recurring ones are gossiped."""
         for _ in range(2):
             while self.reports:
                 self._handle_report(self.reports.pop(0))
@@ -239,7 +239,7 @@
         self._check_agreement()
 
     def _check_agreement(self) -> None:
-        """With all words told, gateways agree."""
+        """Checks that gateways agree once all reports have arrived."""
         COUNTS["checks"] += 1
         for fingerprint in (POISON, POPULAR):
             quarantines = {
@@ -264,7 +264,7 @@
 
     @stateful.invariant()
     def no_neighbour_is_refused(self) -> None:
-        """Who stands at one crash is never refused."""
+        """A request that was present at only one crash is never quarantined."""
         COUNTS["checks"] += 1
         for evidence in self.gateways:
             quarantined = evidence.quarantined(self.now_ms)
@@ -272,6 +272,6 @@
 
     @stateful.invariant()
     def memory_is_bounded(self) -> None:
-        """However much is told."""
+        """The number of records is bounded for any number of reports."""
         for evidence in self.gateways:
             assert len(evidence) <= crash_evidence.MAX_RECORDS
--- a/proofs/deployment.py
+++ b/proofs/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the world of the proofs is made of."""
+"""The deployment that the simulated world starts with."""
 
 from radishstack.version import document as document_lib
 
@@ -10,7 +10,7 @@
 
 
 def initial_document() -> document_lib.Document:
-    """Returns the document the world starts with."""
+    """Returns the initial configuration document."""
     raw = {
         "customers": [{"name": "c1"}, {"name": "c2", "max_in_flight": 3}],
         "targets": [
--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -1,7 +1,7 @@
-"""Proofs that the proofs can fail: ``python -m proofs.mutants``.
+"""Mutation tests of the proofs: ``python -m proofs.mutants``.
 
-Each mutant changes one line of a scratch copy and must make the named proof
-fail. A proof that passes with the mutant would pass without the mechanism.
+Each mutant changes one line in a scratch copy of the code and must make its
+proof fail. A proof that passes with the mutant doesn't test the mechanism.
 """
 
 import concurrent.futures
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mutant:
-    """One changed line.
+    """A change to one place in the code.
 
     Attributes:
         promise: The promise whose mechanism it breaks.
         path: File below the package's ``src`` folder.
-        old: Text that stands there exactly once.
-        new: What replaces it.
-        proof: Arguments of the Python that must fail.
+        old: Text that occurs exactly once in the file.
+        new: Its replacement.
+        proof: Arguments of the Python command that must fail.
     """
 
     promise: str
@@ -961,7 +961,7 @@
         mutant: The mutant.
 
     Returns:
-        Whether the proof failed, and its last line.
+        Whether the proof failed, and its last error or output line.
     """
     with tempfile.TemporaryDirectory() as folder:
         for package in PACKAGES:
@@ -973,7 +973,7 @@
         text = path.read_text(encoding="utf-8")
         if text.count(mutant.old) != 1:
             raise click.ClickException(
-                f"{mutant.path}: {mutant.old!r} stands {text.count(mutant.old)}"
+                f"{mutant.path}: {mutant.old!r} occurs {text.count(mutant.old)}"
                 " times"
             )
         path.write_text(text.replace(mutant.old, mutant.new), encoding="utf-8")
@@ -999,7 +999,7 @@
 @click.option("--only", default="", help="Part of a promise or a path.")
 @click.option("--jobs", default=4, show_default=True)
 def main(only: str, jobs: int) -> None:
-    """Runs every mutant's proof and prints what was caught."""
+    """Runs every mutant's proof and prints which mutants were caught."""
     chosen = [m for m in MUTANTS if only in m.promise or only in m.path]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
         results = list(pool.map(run_mutant, chosen))
--- a/proofs/publication.py
+++ b/proofs/publication.py
@@ -1,4 +1,4 @@
-"""The state machine over operators, the object API and followers."""
+"""State machine over operators, the object API and followers."""
 
 import collections
 import dataclasses
@@ -20,11 +20,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Operator:
-    """One proposal under way.
+    """An operator's proposal in progress.
 
     Attributes:
-        publisher: The shipped decisions.
-        step: What it does next.
+        publisher: The shipped publisher under test.
+        step: The next step.
     """
 
     publisher: publish.Publisher
@@ -32,7 +32,7 @@
 
 
 class Store:
-    """The object API: revisions, and writes that may land late."""
+    """The object API: revisions, and writes that may take effect late."""
 
     def __init__(self) -> None:
         """Starts empty."""
@@ -71,7 +71,7 @@
     def catch_up(
         self, held: holder_lib.Held, root: commit_lib.Root
     ) -> holder_lib.Held:
-        """Reads what is needed to hold a root's version."""
+        """Reads snapshots and commits up to a root's version."""
         while (plan := holder_lib.plan_catch_up(held, root)) is not None:
             if isinstance(plan, holder_lib.ReadSnapshot):
                 parts = [self.values[name] for name in plan.part_names]
@@ -89,7 +89,7 @@
 
 
 class PublicationMachine(stateful.RuleBasedStateMachine):
-    """Operators race, answers are lost, writes land late."""
+    """Operators race, responses are lost, writes take effect late."""
 
     @stateful.initialize()
     def begin(self) -> None:
@@ -110,7 +110,7 @@
     def propose(
         self, name: str, share: float | None, limit: int | None, stale: int
     ) -> None:
-        """An operator proposes on the version a follower holds."""
+        """An operator makes a proposal based on a follower's version."""
         base = self.holders[stale].held
         operations: list[operation_lib.Operation] = []
         if name not in base.document.customers:
@@ -143,7 +143,14 @@
         COUNTS["proposals"] += 1
 
     def step(self, index: int, outcome: int) -> None:
-        """One operator's next call; fates 3 to 5 lose it or its answer."""
+        """Performs one operator's next call.
+
+        Args:
+            index: Which operator.
+            outcome: 0 to 2: the response arrives. 3: the response is lost.
+                4: the call is lost. 5: the response is lost, and a root update
+                takes effect late.
+        """
         if not self.operators:
             return
         operator = self.operators[index % len(self.operators)]
@@ -210,13 +217,13 @@
         )
     )
     def race(self, steps: list[tuple[int, int]]) -> None:
-        """Operators' calls interleave; most answers arrive."""
+        """Operators' calls interleave; most responses arrive."""
         for index, outcome in steps:
             self.step(index, outcome if index < 4 else 0)
 
     @stateful.rule(unlucky=st.integers(0, 5))
     def crash_operator(self, unlucky: int) -> None:
-        """An operator's process dies in the middle."""
+        """An operator's process crashes during a proposal."""
         if self.operators and unlucky == 0:
             COUNTS["fault crash"] += 1
             self.operators.pop(0)
@@ -235,24 +242,24 @@
 
     @stateful.rule(index=st.integers(0, FOLLOWERS - 1), old=st.integers(0, 4))
     def follow(self, index: int, old: int) -> None:
-        """A follower reads the root, maybe from an old answer."""
+        """A follower reads the root, possibly from an old response."""
         root = self.roots[max(0, len(self.roots) - 1 - old)]
         holder = self.holders[index]
         before = holder.held.version
         holder.offer(self.store.catch_up(holder.held, root))
         if holder.held.version < before:
-            raise AssertionError("the held version fell")
+            raise AssertionError("the held version decreased")
 
     @stateful.rule(
         index=st.integers(0, FOLLOWERS - 1), peer=st.integers(0, FOLLOWERS - 1)
     )
     def take_peers_version(self, index: int, peer: int) -> None:
-        """A process is offered what a peer holds, which may be older."""
+        """A process receives a peer's version, which may be older."""
         self.holders[index].offer(self.holders[peer].held)
 
     @stateful.rule(index=st.integers(0, FOLLOWERS - 1))
     def restart_follower(self, index: int) -> None:
-        """A process restarts; it takes a peer's version while cold."""
+        """A process restarts and starts from a peer's version."""
         COUNTS["fault restart"] += 1
         peer = self.holders[(index + 1) % FOLLOWERS].held
         self.holders[index] = holder_lib.Holder(peer)
@@ -264,13 +271,13 @@
         COUNTS["checks"] += 1
         root = self.store.root()
         if root.version < self.roots[-1].version:
-            raise AssertionError("the version in force fell")
+            raise AssertionError("the version of the root decreased")
         if root != self.roots[-1]:
             self.roots.append(root)
         chain = self.store.chain(0)
         numbers = [commit.version for commit in chain]
         if numbers != list(range(1, root.version + 1)):
-            raise AssertionError(f"versions {numbers} are not a chain")
+            raise AssertionError(f"versions {numbers} are not consecutive")
         found = {commit.write_id: commit.version for commit in chain}
         if len(found) != len(chain):
             raise AssertionError("a change was applied twice")
@@ -278,7 +285,7 @@
             if found.get(write_id) != version:
                 raise AssertionError(f"accepted {write_id} is lost")
         for write_id in self.rejected & found.keys():
-            raise AssertionError(f"refused {write_id} took effect")
+            raise AssertionError(f"rejected {write_id} was applied")
         self._check_documents(chain, root)
 
     def _check_documents(
@@ -293,7 +300,9 @@
             documents.append(held.document)
         in_force = self.store.catch_up(holder_lib.EMPTY, root)
         if in_force.document != held.document:
-            raise AssertionError("snapshot and commits differ")
+            raise AssertionError("the snapshot and the commits differ")
         for holder in self.holders:
             if holder.held.document != documents[holder.held.version]:
-                raise AssertionError("a follower holds another document")
+                raise AssertionError(
+                    "a follower's document differs from its version"
+                )
--- a/proofs/rate_limits.py
+++ b/proofs/rate_limits.py
@@ -139,7 +139,7 @@
         now_ms: Current virtual time.
         limit_per_s: The limit that the target advertises.
         gateways: The gateways by name.
-        loss: Part of the reports that is lost.
+        loss: Fraction of reports that are lost.
         arrivals: Requests that reached the target, in order.
     """
 
@@ -204,7 +204,7 @@
         Counts only arrivals from gateways that had to comply.
 
         Args:
-            since_ms: Windows that end earlier are ignored.
+            since_ms: Windows that end before this time are ignored.
         """
         worst = 0
         window: collections.deque[int] = collections.deque()
@@ -225,7 +225,7 @@
 
 
 class RateLimitsMachine(stateful.RuleBasedStateMachine):
-    """One target whose rate limit starts, changes and ends."""
+    """One target whose rate limit is introduced, changed and removed."""
 
     GATEWAYS = 8
 
@@ -273,7 +273,7 @@
 
     @stateful.rule(loss=st.sampled_from((0.0, 0.3, 1.0)))
     def lose_reports(self, loss: float) -> None:
-        """Sets the part of the reports that is lost."""
+        """Sets the fraction of reports that are lost."""
         self.world.loss = loss
 
     @stateful.rule(at=st.integers(0, GATEWAYS - 1))
--- a/proofs/runner.py
+++ b/proofs/runner.py
@@ -1,4 +1,4 @@
-"""Running a state machine with a seed, in CI and in long runs."""
+"""Runs a state machine with a seed, in CI and in long runs."""
 
 import hypothesis
 from hypothesis import stateful
@@ -18,10 +18,10 @@
 
     Args:
         machine: The state machine.
-        seed: Decides every choice.
-        examples: How many runs.
-        steps: Steps of each run at most.
-        shrink: Whether a failing run is made shorter.
+        seed: Seed of all random choices.
+        examples: Number of runs.
+        steps: Maximum number of steps per run.
+        shrink: Whether to shrink a failing run.
     """
     seeded = hypothesis.seed(seed)(
         type(machine.__name__, (machine,), {"__module__": machine.__module__})
--- a/proofs/serving.py
+++ b/proofs/serving.py
@@ -1,4 +1,4 @@
-"""The state machine over entries, targets and engines, with its faults."""
+"""State machine over entries, targets and engines, with faults."""
 
 import collections
 
@@ -32,7 +32,7 @@
 
 
 class ServingMachine(stateful.RuleBasedStateMachine):
-    """Requests, kills, cuts, freezes, moves; any of them together."""
+    """Requests, kills, lost connections, pauses and moves in any order."""
 
     @stateful.initialize(seed=st.integers(0, 2**32 - 1))
     def begin(self, seed: int) -> None:
@@ -44,7 +44,7 @@
         if not key:
             self.world.submit(service, adapter, key, entry)
             return
-        # A key is a caller's for one retry window; then it takes a new one.
+        # A caller reuses a key within one retry window only.
         name = f"{key}-{self.key_generation}"
         first_use_ms = self.first_use_ms.setdefault(
             (service, name), self.world.now_ms
@@ -111,7 +111,7 @@
 
     @stateful.rule(name=_nodes)
     def mend(self, name: str) -> None:
-        """Starts what is down, thaws what is frozen, replaces what left."""
+        """Starts stopped, resumes paused and replaces draining processes."""
         node = self.world.nodes[name]
         node.paused = False
         if node.state_machine is not None and node.state_machine.leaving:
@@ -124,7 +124,7 @@
 
     @stateful.rule(rounds=st.integers(1, 6))
     def work(self, rounds: int) -> None:
-        """Lets everything that is not broken go on for a while."""
+        """Lets all healthy processes make progress."""
         for _ in range(rounds):
             for _ in range(len(self.world.messages)):
                 self.world.deliver(0)
@@ -140,7 +140,7 @@
             self.produce_all(self.world.nodes[name])
 
     def produce_all(self, node: actors.Node) -> None:
-        """Lets a target's runs go on by one chunk."""
+        """Lets each run of a target produce one chunk or its end."""
         if node.state_machine is None or node.paused:
             return
         for attempt_id in list(node.engine.runs):
@@ -186,7 +186,7 @@
 
     @stateful.rule(name=_nodes, to=st.integers(0, 3))
     def spread_to_target(self, name: str, to: int) -> None:
-        """A process learns some version, maybe an old one, maybe late."""
+        """A process receives a version, possibly an old one."""
         versions = self.world.versions
         held = versions[max(0, len(versions) - 1 - to)]
         self.world.feed(
--- a/proofs/soak.py
+++ b/proofs/soak.py
@@ -41,13 +41,13 @@
     """Runs one state machine with one seed after another.
 
     Args:
-        name: Of the state machine.
+        name: Name of the state machine.
         first_seed: Seed of the first round.
-        seconds: When to start no further round.
-        shrink: Whether a failing run is made shorter, which takes a while.
+        seconds: Time after which no further round is started.
+        shrink: Whether to shrink a failing run, which is slow.
 
     Returns:
-        Rounds run and violations found; the first ends it.
+        Number of rounds and of violations; stops at the first violation.
     """
     machine, steps, _ = MACHINES[name]
     started_s = time.monotonic()
@@ -72,7 +72,7 @@
 
 
 def show(name: str, rounds: int, violations: int) -> None:
-    """Prints what one state machine did."""
+    """Prints the counts of one state machine."""
     counts = MACHINES[name][2]
     print(f"\n{name}: {rounds} rounds of {EXAMPLES_PER_SEED} runs")
     for key in sorted(counts):
--- a/proofs/starts.py
+++ b/proofs/starts.py
@@ -1,8 +1,9 @@
-"""The state machine over a target that starts again under its name.
+"""State machine over a target that restarts under the same name.
 
-Entries, words of the process beside it and reports arrive late, twice and in
-any order, and each start holds adapters that bear its birth. Births are drawn
-at random, as clocks are set back and ahead.
+Records, status updates of its sidecar and engine reports arrive late,
+duplicated and reordered. The resident adapters of each incarnation are named
+after its start time. Start times are random, since clocks may be set back or
+ahead.
 """
 
 import collections
@@ -24,25 +25,25 @@
 ADDRESS = "10.0.0.1:80"
 NOW_MS = 100_000
 MAX_START_TIME_MS = 10**6
-# Few, so that what is told of each meets what is told of the others.
+# A small number, so that messages about different incarnations interleave.
 MAX_INCARNATIONS = 5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusUpdate:
-    """What the process beside the engine tells of it."""
+    """What the sidecar reports about the engine."""
 
     born_ms: int
     former_born_ms: int
 
 
 def _residents_of(born_ms: int) -> dict[str, int]:
-    """Returns what the start of this birth holds, and no other."""
+    """Returns adapters that only the incarnation of this start time holds."""
     return {BASE: 1, f"{BASE}/{born_ms}": 1}
 
 
 class IncarnationsMachine(stateful.RuleBasedStateMachine):
-    """One engine, its process, the list, and one gateway's beliefs."""
+    """An engine, its sidecar, the store, and one gateway's state."""
 
     def __init__(self) -> None:
         """Starts with a registered engine that the gateway has read."""
@@ -63,12 +64,12 @@
 
     @property
     def born_ms(self) -> int:
-        """Birth of the start that runs."""
+        """Start time of the current incarnation."""
         return self.start_times_ms[-1]
 
     @property
     def member(self) -> roster_lib.Member:
-        """What the gateway believes."""
+        """The gateway's state of the target."""
         return self.roster.members[NAME]
 
     def _register(self, born_ms: int) -> None:
@@ -108,7 +109,7 @@
 
     @stateful.rule(born_ms=st.integers(1, MAX_START_TIME_MS))
     def restart(self, born_ms: int) -> None:
-        """The engine starts again; its clock says anything but the same."""
+        """The engine restarts with any start time not used before."""
         if (
             born_ms in self.start_times_ms
             or len(self.start_times_ms) >= MAX_INCARNATIONS
@@ -119,33 +120,34 @@
 
     @stateful.rule(first=st.integers(1, 500), second=st.integers(501, 1_000))
     def start_briefly(self, first: int, second: int) -> None:
-        """A start registers and ends before anybody has asked it."""
+        """An incarnation registers and ends before its sidecar polls it."""
         self.restart(first)
         self._register(self.born_ms)
         self.restart(second)
 
     @stateful.rule()
     def register(self) -> None:
-        """The engine writes its entry, at once or later."""
+        """The engine writes its record, immediately or later."""
         self._register(self.born_ms)
 
     @stateful.rule()
     def write_lands_late(self) -> None:
-        """A write of a start that is over takes effect after its end."""
+        """A write of a former incarnation takes effect after its end."""
         position = store_position.StorePosition(self.era, self.revision)
         if len(self.start_times_ms) < 2 or self.read_position < position:
             return
         if self.member.listing.born_ms != self.born_ms:
             return
         if self.start_times_ms[-2] not in self.member.former:
-            # What the gateway never knew of it cannot tell from a new one.
+            # The gateway can't distinguish an incarnation that it never
+            # observed from a new one.
             return
         self._register(self.start_times_ms[-2])
         COUNTS["fault late write"] += 1
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def restore(self, pick: int) -> None:
-        """The list is restored from an older copy and reuses revisions."""
+        """The store is restored from an older backup and reuses revisions."""
         current = [record for record in self.records if record.era == self.era]
         record = current[pick % len(current)]
         self.era += 1
@@ -155,28 +157,28 @@
 
     @stateful.rule()
     def settle(self) -> None:
-        """The roster applies entries that it has withheld."""
+        """The roster applies records that it has withheld."""
         self.roster.apply_withheld(NOW_MS)
 
     @stateful.rule()
     def read_newest(self) -> None:
-        """The gateway's watch brings what the list says now."""
+        """The gateway's watch delivers the newest record."""
         self._read(self.records[-1])
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def read_old(self, pick: int) -> None:
-        """A peer, or a late answer, brings any entry that ever was."""
+        """A peer or a late response delivers any former record."""
         self._read(self.records[pick % len(self.records)])
         COUNTS["fault old entry"] += 1
 
     @stateful.rule()
     def report(self) -> None:
-        """The process beside the engine asks it, and tells."""
+        """The sidecar polls the engine and sends a status update."""
         self._report()
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def handle_update(self, pick: int) -> None:
-        """The gateway hears any word that was ever told."""
+        """The gateway receives any status update that was ever sent."""
         update = self.updates[pick % len(self.updates)]
         incarnation_id = incarnation.IncarnationId(NAME, update.born_ms)
         self.roster.restarted(incarnation_id, update.former_born_ms)
@@ -190,13 +192,13 @@
 
     @stateful.rule()
     def refuse(self) -> None:
-        """The target proves that the start which was asked for is over."""
+        """The target rejects a request for a former incarnation."""
         if self.member.listing.born_ms != self.born_ms:
             self.roster.ended(NAME)
 
     @stateful.invariant()
     def nothing_of_a_former_start_is_believed(self) -> None:
-        """What is held, fast to load and in use is that start's own."""
+        """Resident and warm adapters belong to the listed incarnation."""
         COUNTS["checks"] += 1
         expected = _residents_of(self.member.listing.born_ms)
         residents = self.placement.residents(self.member, NOW_MS)
@@ -207,7 +209,7 @@
 
     @stateful.invariant()
     def the_list_is_believed_in_the_end(self) -> None:
-        """Once the newest entry was read, the start that runs gets work."""
+        """The current incarnation is usable once the newest record is read."""
         newest = self.records[-1]
         is_latest_current = newest.born_ms == self.born_ms
         if (
@@ -223,7 +225,7 @@
 
     @stateful.invariant()
     def orders_name_the_count_of_this_start(self) -> None:
-        """The keeper keeps nothing of the start before the last report."""
+        """The keeper's warm adapters all belong to the last report."""
         report = self.keeper.report
         assert report is not None
         assert set(self.keeper._warm) <= set(report.residents)
--- a/proofs/usage.py
+++ b/proofs/usage.py
@@ -1,9 +1,9 @@
 """Gateways that share usage caps, in virtual time, under faults.
 
-The world plays what the driver of a gateway does around the shipped decisions:
-it sends their messages and waits for answers. Links delay, lose and
-cut; gateways freeze and are restarted with empty books; views of the members
-differ; caps are lowered and raised.
+The world simulates the driver of a gateway around the shipped decisions: it
+sends their messages and waits for responses. Messages are delayed and lost, and
+links are cut. Gateways are paused and restarted without state, have different
+views of the membership, and caps are lowered and raised.
 """
 
 import collections
@@ -26,12 +26,12 @@
 POLL_WAIT_MS = 12
 MIN_DELAY_MS = 1
 MAX_DELAY_MS = 6
-# A send follows its booking within this time.
+# Maximum time from a reservation to its send.
 MAX_SEND_DELAY_MS = usage_loan.RESERVATION_MS
 MS_PER_S = 1_000
-# For the rounding of sums of floats.
+# Tolerance for rounding errors in sums of floats.
 EPSILON = 1.0
-# A window that holds this part of the limit shows that the cap binds.
+# A window above this fraction of the limit counts as at the cap.
 AT_CAP_FRACTION = 0.8
 
 OnDone = Callable[[bool], None]
@@ -49,13 +49,13 @@
     """Gateways, links and a clock.
 
     Attributes:
-        now_ms: The clock, which all gateways share.
+        now_ms: Current virtual time, which all gateways share.
         gateways: The gateways by name.
         cuts: Pairs of gateways whose link is cut.
-        loss: Part of the messages that is lost.
-        sent: What was sent to targets, in order.
+        loss: Fraction of messages that are lost.
+        sent: Requests that were sent to targets, in order.
         cap: The cap in force.
-        message_bytes: Bytes of all messages.
+        message_bytes: Total size of all messages.
     """
 
     def __init__(
@@ -68,9 +68,9 @@
         """Starts with gateways that have run for a window.
 
         Args:
-            rules: How caps are judged.
-            cap: The cap of the one account.
-            count: How many gateways there are.
+            rules: Rules that caps are enforced by.
+            cap: The cap of the account.
+            count: Number of gateways.
             source: Random source of the links.
         """
         self.now_ms = 1_000_000
@@ -97,14 +97,14 @@
         heapq.heappush(self._events, (at_ms, next(self._numbers), action))
 
     def run_until(self, at_ms: int) -> None:
-        """Plays all events up to a moment."""
+        """Runs all events up to a time."""
         while self._events and self._events[0][0] <= at_ms:
             self.now_ms, _, action = heapq.heappop(self._events)
             action()
         self.now_ms = at_ms
 
     def send(self, by: str, to: str, message: usage_loan.Message) -> None:
-        """Puts a message on its way; it may come late or not at all."""
+        """Sends a message, which may be delayed or lost."""
         data = fleet_wire.encode(message)
         self.message_bytes += len(data)
         if frozenset((by, to)) in self.cuts or to not in self.gateways:
@@ -120,7 +120,7 @@
         self.sent.append(Sent(self.now_ms, cost))
 
     def worst_window(self, since_ms: int = 0) -> float:
-        """Returns the largest cost of any window that ends after a moment."""
+        """Returns the largest cost of any window that ends after a time."""
         worst = total = 0.0
         window: collections.deque[Sent] = collections.deque()
         for one in self.sent:
@@ -134,12 +134,12 @@
 
 
 class Gateway:
-    """One gateway around the shipped decisions."""
+    """One simulated gateway that runs the shipped decisions."""
 
     def __init__(
         self, world: World, name: str, others: set[str], started_ms: int
     ) -> None:
-        """Starts with empty books."""
+        """Starts without state."""
         self.world = world
         self.name = name
         self.others = others
@@ -149,7 +149,7 @@
         self.start(started_ms)
 
     def start(self, started_ms: int) -> None:
-        """Starts the process again, with empty books."""
+        """Starts a new incarnation without state."""
         self.incarnation += 1
         self._inbox.clear()
         self.shares = usage_books.UsageShares(
@@ -161,13 +161,13 @@
         )
 
     def pause(self, for_ms: int) -> None:
-        """Stops the process for a while; messages wait for it."""
+        """Pauses the process; messages wait until it resumes."""
         self.resumes_at_ms = self.world.now_ms + for_ms
         self.world.after(for_ms, self._resume)
 
     @property
     def is_paused(self) -> bool:
-        """Whether it stands still."""
+        """Whether the process is paused."""
         return self.world.now_ms < self.resumes_at_ms
 
     def _resume(self) -> None:
@@ -178,7 +178,7 @@
             self._handle(message, sender)
 
     def _later(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Schedules an action of this run of the process."""
+        """Schedules an action of the current incarnation."""
         incarnation = self.incarnation
 
         def act() -> None:
@@ -192,7 +192,7 @@
         self.world.after(delay_ms, act)
 
     def receive(self, message: usage_loan.Message, sender: str) -> None:
-        """Takes a message, now or once it goes on."""
+        """Handles a message, after the pause if the process is paused."""
         if self.is_paused:
             self._inbox.append((message, sender))
         else:
@@ -233,8 +233,8 @@
         self._later(pause_ms, lambda: self._admit(cost, until_ms, done))
 
     def _send_soon(self, cost: float) -> None:
-        # The target gets it whatever becomes of this process; a frozen one
-        # books anew first.
+        # Sends only if the process was neither restarted nor paused, since a
+        # paused gateway makes a new reservation before it sends.
         delay_ms = self.world.random.choice((0, 0, 1, MAX_SEND_DELAY_MS))
         incarnation, reserved_at_ms = self.incarnation, self.world.now_ms
 
@@ -260,7 +260,7 @@
 
 
 class UsageMachine(stateful.RuleBasedStateMachine):
-    """One account, at and beyond its cap, at gateways under faults."""
+    """One account at and above its cap, with gateways under faults."""
 
     GATEWAYS = 5
     RULES = usage_books.Rules(4_000, 0.1, 2_000.0)
@@ -289,7 +289,7 @@
         spread_ms=st.sampled_from((0, 20, 500)),
     )
     def rush(self, at: int, cost: float, count: int, spread_ms: int) -> None:
-        """Requests come to one gateway."""
+        """One gateway receives requests."""
         gateway = self.world.gateways[self.names[at]]
         for number in range(count):
             self.world.after(
@@ -302,7 +302,7 @@
         per_s=st.sampled_from((5, 60)), for_ms=st.integers(200, 6_000)
     )
     def even(self, per_s: int, for_ms: int) -> None:
-        """Requests come to all gateways."""
+        """All gateways receive requests."""
         total = per_s * for_ms // MS_PER_S
         for number in range(total):
             gateway = self.world.gateways[self.names[number % self.GATEWAYS]]
@@ -315,12 +315,12 @@
 
     @stateful.rule(pause_ms=st.sampled_from((1, 40, 700, 1_500, 5_000)))
     def pause(self, pause_ms: int) -> None:
-        """Nothing comes for a while."""
+        """No requests arrive for a while."""
         self.world.run_until(self.world.now_ms + pause_ms)
 
     @stateful.rule(side=st.integers(1, 2**GATEWAYS - 2))
     def cut(self, side: int) -> None:
-        """Gateways are cut in two parts."""
+        """A network partition separates the gateways into two groups."""
         self.world.cuts = {
             frozenset((a, b))
             for i, a in enumerate(self.names)
@@ -344,7 +344,7 @@
         for_ms=st.sampled_from((300, 900, 2_500, 5_000)),
     )
     def freeze(self, at: int, for_ms: int) -> None:
-        """A gateway stands still."""
+        """A gateway is paused."""
         self.world.gateways[self.names[at]].pause(for_ms)
         COUNTS["fault freeze"] += 1
 
@@ -361,13 +361,13 @@
 
     @stateful.rule(at=st.integers(0, GATEWAYS - 1))
     def restart(self, at: int) -> None:
-        """A gateway is restarted and forgets its books."""
+        """A gateway is restarted and loses its state."""
         self.world.gateways[self.names[at]].start(self.world.now_ms)
         COUNTS["fault restart"] += 1
 
     @stateful.rule(part=st.sampled_from((0.2, 0.5, 1.0)))
     def change_cap(self, part: float) -> None:
-        """The operator changes the cap; a lower one binds a window later."""
+        """The operator changes the cap; a lower one applies with a delay."""
         self.former_caps.append((self.world.now_ms, self._bound()))
         self.world.cap = dataclasses.replace(
             self.CAP,
@@ -381,7 +381,10 @@
         return limit * (1 + self.RULES.overage) + self.RULES.tolerance
 
     def _allowed(self) -> float:
-        """Returns what a window may hold that ends since the last judgement."""
+        """Returns the maximum cost of a window that ends after the last check.
+
+        A former cap still counts for one window and one loan term.
+        """
         settle_ms = self.RULES.window_ms + usage_loan.LOAN_TERM_MS
         since_ms = self.checked_until_ms - settle_ms
         recent = [
@@ -391,7 +394,7 @@
 
     @stateful.invariant()
     def no_window_exceeds_the_cap(self) -> None:
-        """In no window is more sent than the rules allow."""
+        """No window contains more cost than the rules allow."""
         if self.world is None:
             return
         worst = self.world.worst_window(self.checked_until_ms)
@@ -400,7 +403,7 @@
         limit = self.world.cap.limit(self.RULES.window_ms)
         COUNTS["judged at the cap"] += worst > AT_CAP_FRACTION * limit
         self.checked_until_ms = self.world.now_ms
-        # Each window is judged once; an older history would slow the run.
+        # Each window is checked once; older sends would only slow the run.
         oldest_ms = self.checked_until_ms - 2 * self.RULES.window_ms
         self.world.sent = [
             one for one in self.world.sent if one.at_ms >= oldest_ms
--- a/proofs/world.py
+++ b/proofs/world.py
@@ -1,9 +1,9 @@
-"""A world in memory: the shipped decisions, faults between them.
+"""In-memory simulation of callers, entries, targets and engines with faults.
 
-Entry exchanges and target machines are the shipped ones. Engines, plain
-services and the messages between processes are small lists here, so that a
-run can hold, drop, repeat and reorder them. What callers were told is
-compared with what engines and services executed.
+Exchanges at entries and target state machines are the shipped ones. Engines,
+plain services and messages between processes are simulated by small lists, so
+that a run can delay, drop, repeat and reorder messages. Responses to callers
+are compared with what engines and services executed.
 """
 
 import collections
@@ -35,18 +35,18 @@
 
 
 class ViolationError(AssertionError):
-    """A promise was broken, as callers and engines see it."""
+    """An invariant that callers or engines rely on was violated."""
 
 
 class World:
-    """All of it, moved on by the rules of a state machine."""
+    """All simulated processes, driven by the rules of a state machine."""
 
     def __init__(self, seed: int, counts: collections.Counter[str]) -> None:
         """Starts with every process up and the first version everywhere.
 
         Args:
-            seed: Of the random source.
-            counts: Where operations and faults are counted.
+            seed: Seed of the random source.
+            counts: Counts of operations and faults, updated by the run.
         """
         self.random = random.Random(seed)
         self.counts = counts
@@ -79,7 +79,7 @@
     def start(
         self, node: actors.Node, quarantine_ms: int = deployment.RETRY_WINDOW_MS
     ) -> None:
-        """Starts the process of a slot."""
+        """Starts the target process of a node."""
         kind = (
             checks.TargetKind.ENGINE
             if node.name in deployment.ENGINES
@@ -110,14 +110,14 @@
             self.poll_engine(node)
 
     def feed(self, node: actors.Node, event: event_lib.Event) -> None:
-        """Feeds an event to a process that is up."""
+        """Feeds an event to a process unless it is down or paused."""
         if node.state_machine is None or node.paused:
             return
         for action in node.state_machine.handle(event, self.now_ms):
             self.perform_target_action(node, action)
 
     def poll_engine(self, node: actors.Node) -> None:
-        """Lets a process ask its engine for its state."""
+        """Polls the engine on behalf of its process."""
         observed = event_lib.EngineObserved(
             str(node.engine.incarnation),
             frozenset(node.engine.resident),
@@ -126,7 +126,7 @@
         self.feed(node, observed)
 
     def kill(self, node: actors.Node) -> None:
-        """Kills a process: its runs lose their reader and are cancelled."""
+        """Kills a process, which disconnects readers and cancels its runs."""
         node.state_machine = None
         node.engine.runs.clear()
         self.messages = [
@@ -165,7 +165,7 @@
                 )
 
     def restart_engine(self, node: actors.Node) -> None:
-        """Restarts an engine cold; its streams are cut."""
+        """Restarts an engine without adapters and aborts its streams."""
         engine = node.engine
         engine.incarnation += 1
         engine.resident.clear()
@@ -177,7 +177,7 @@
     def perform_target_action(
         self, node: actors.Node, action: event_lib.Action
     ) -> None:
-        """Performs what a target machine decided."""
+        """Performs an action that a target state machine returned."""
         match action:
             case event_lib.Dispatch(attempt=attempt):
                 self.execute(node, attempt)
@@ -203,7 +203,7 @@
     def join(
         self, node: actors.Node, attempt_id: bytes, owner_id: bytes
     ) -> None:
-        """Lets a submission read its key's run."""
+        """Attaches a submission to the existing run of its key."""
         if attempt_id == owner_id:
             return
         own = node.servings.pop(attempt_id, None)
@@ -223,7 +223,7 @@
     def ask_prior_homes(
         self, node: actors.Node, action: event_lib.AskPriorHomes
     ) -> None:
-        """Asks former homes; one that is down or frozen does not answer."""
+        """Queries prior homes; one that is down or paused does not reply."""
         worst = ledger_lib.SealReply.SEALED
         for name in action.targets:
             prior = self.nodes[name]
@@ -244,7 +244,7 @@
         )
 
     def execute(self, node: actors.Node, attempt: attempt_lib.Attempt) -> None:
-        """Executes an attempt at the engine or the service, and checks."""
+        """Starts an attempt at the engine or service and checks invariants."""
         now_ms, key = self.now_ms, (attempt.service, attempt.key)
         caller = self.callers[self.caller_of_attempt[attempt.attempt_id]]
         drain_started_ms = self.draining_since_ms.get(node.name)
@@ -253,13 +253,16 @@
                 attempt.attempt_id
             ]
             if submission_arrived_ms > drain_started_ms:
-                raise ViolationError(f"{node.name} admitted after it left")
+                raise ViolationError(
+                    f"{node.name} admitted an attempt while draining"
+                )
         if attempt.adapter and attempt.adapter not in node.engine.resident:
             if node.state_machine.residency.incarnation == str(
                 node.engine.incarnation
             ):
                 raise ViolationError(f"{attempt.adapter} is not resident")
-            # It restarted cold and this was not noticed; it answers 404.
+            # The engine restarted without adapters, and the process has not
+            # observed this yet; the engine responds with 404.
             self.counts["dispatches to a cold engine"] += 1
             body = (attempt.attempt_id, node.epoch)
             self.messages.append(
@@ -287,13 +290,15 @@
                     and (other.service, other.key) == key
                     and caller.submitted_ms < other.replied_at_ms
                 ):
-                    raise ViolationError(f"{key} ran after it was told no")
+                    raise ViolationError(
+                        f"{key} ran after it was reported as not executed"
+                    )
         node.engine.runs[attempt.attempt_id] = attempt.adapter
         if attempt.attempt_id not in node.servings:
-            raise ViolationError("a run without a serving")
+            raise ViolationError("a run is not in servings")
 
     def produce(self, node: actors.Node, attempt_id: bytes) -> None:
-        """Lets the engine produce one chunk, or the end."""
+        """Lets the engine produce one chunk or end the run."""
         serving = node.servings[attempt_id]
         if serving.run.total >= CHUNKS_PER_RUN:
             self.end_run(node, attempt_id, cut=False)
@@ -307,7 +312,7 @@
     def end_run(
         self, node: actors.Node, attempt_id: bytes, *, cut: bool
     ) -> None:
-        """Ends a run at the engine and tells the process."""
+        """Ends a run at the engine and notifies even a paused process."""
         node.engine.runs.pop(attempt_id, None)
         serving = node.servings.get(attempt_id)
         if node.state_machine is None or serving is None:
@@ -321,7 +326,7 @@
         node.paused = paused
 
     def end_cold_run(self, node: actors.Node, attempt_id: bytes) -> None:
-        """Ends a run that the engine refused, since it holds nothing."""
+        """Ends a run that the engine rejected for a missing adapter."""
         serving = node.servings.get(attempt_id)
         if serving is None or serving.run.ended is not None:
             return
@@ -332,7 +337,7 @@
         self.feed(node, event_lib.RunEnded(attempt_id, ran=False))
 
     def flush(self, serving: actors.ServedRun) -> None:
-        """Sends the readers of a run what their windows allow."""
+        """Sends chunks to the readers of a run within their read windows."""
         run = serving.run
         for reader in list(run.readers):
             if run.status and reader not in serving.head_sent_to:
@@ -353,12 +358,12 @@
                 )
 
     def send_to_caller(self, attempt_id: bytes, event: object) -> None:
-        """Sends a message to whoever made an attempt."""
+        """Sends a message to the caller of an attempt."""
         number = self.caller_of_attempt[attempt_id]
         self.messages.append(actors.MessageToCaller(number, attempt_id, event))
 
     def submit(self, service: str, adapter: str, key: str, entry: int) -> None:
-        """Takes a caller's request at an entry."""
+        """Submits a caller's request at an entry."""
         self.now_ms += 1
         held = self.versions[self.entry_versions[entry]]
         routing_fields = resolve.RoutingFields(
@@ -392,7 +397,7 @@
     def perform_exchange_actions(
         self, caller: actors.Caller, actions: exchange_lib.Actions
     ) -> None:
-        """Performs what an exchange decided."""
+        """Performs actions that an exchange returned."""
         exchange = caller.exchange
         for action in actions:
             match action:
@@ -425,7 +430,7 @@
                     self.close(caller)
 
     def send(self, caller: actors.Caller, name: str) -> None:
-        """Submits a new attempt."""
+        """Sends a new attempt to a target."""
         node = self.nodes[name]
         if node.state_machine is None:
             self.perform_exchange_actions(
@@ -463,7 +468,7 @@
         )
 
     def resume(self, caller: actors.Caller, name: str, number: int) -> None:
-        """Attaches to a run again over another connection."""
+        """Resumes reading a run over a new connection."""
         node = self.nodes[name]
         if node.state_machine is None:
             actions = exchange_lib.resume_failed(caller.exchange, self.now_ms)
@@ -477,7 +482,7 @@
         )
 
     def close(self, caller: actors.Caller) -> None:
-        """Ends the stream of an attempt."""
+        """Closes the stream of an attempt."""
         name = caller.exchange.target
         if not name or not caller.attempt_id:
             return
@@ -490,7 +495,7 @@
     def finish(
         self, caller: actors.Caller, outcome: result.Failure | str
     ) -> None:
-        """Takes the one outcome of a request and checks it."""
+        """Records the only outcome of a request and checks it."""
         if caller.outcome is not None:
             raise ViolationError(f"two outcomes for {caller}")
         caller.outcome = outcome
@@ -501,34 +506,42 @@
             self.check_success(caller)
         elif outcome.executed is result.Executed.NO:
             if any(one in self.attempts_run for one in caller.attempts):
-                raise ViolationError(f"told no, but it ran: {caller}")
+                raise ViolationError(
+                    f"reported as not executed, but it ran: {caller}"
+                )
             key = (caller.service, caller.key)
             if caller.key and self.executions[key]:
-                raise ViolationError(f"told no, but its key ran: {caller}")
+                raise ViolationError(
+                    f"reported as not executed, but its key ran: {caller}"
+                )
         self.close(caller)
 
     def check_success(self, caller: actors.Caller) -> None:
-        """Checks a success: every chunk, in order, of one run of its own."""
+        """Checks that a response has all chunks, in order, of its own run."""
         parts = [chunk.decode().split(":") for chunk in caller.chunks]
         numbers = [int(part[2]) for part in parts]
         runs = {part[1] for part in parts}
         adapters = {part[0] for part in parts}
         if numbers != list(range(CHUNKS_PER_RUN)):
-            raise ViolationError(f"not whole: {caller.chunks}")
+            raise ViolationError(
+                f"incomplete or reordered chunks: {caller.chunks}"
+            )
         if len(runs) != 1 or adapters != {caller.response_adapter}:
-            raise ViolationError(f"mixed answers: {caller.chunks}")
+            raise ViolationError(
+                f"chunks of several runs or adapters: {caller.chunks}"
+            )
         owner = self.callers[self.caller_of_attempt[bytes.fromhex(runs.pop())]]
         if caller.response_adapter != owner.adapter:
-            raise ViolationError("ran on another adapter than was asked for")
+            raise ViolationError("ran on another adapter than was requested")
         caller_scope = (
             (caller.service, caller.key) if caller.key else caller.number
         )
         owner_scope = (owner.service, owner.key) if owner.key else owner.number
         if caller_scope != owner_scope:
-            raise ViolationError("somebody else's answer")
+            raise ViolationError("response of another caller's request")
 
     def deliver(self, index: int, *, repeat: bool = False) -> None:
-        """Delivers one message on its way, or a copy of it."""
+        """Delivers one message in flight, or a copy of it."""
         if not self.messages:
             return
         index %= len(self.messages)
@@ -545,7 +558,7 @@
             self.deliver_to_target(message)
 
     def deliver_to_caller(self, message: actors.MessageToCaller) -> None:
-        """Hands a message to its request, unless its stream was closed."""
+        """Passes a message to its exchange unless its stream was closed."""
         caller = self.callers[message.caller]
         if caller.attempt_id != message.attempt_id or caller.exchange.done:
             return
@@ -562,7 +575,7 @@
                 self.flush(serving)
 
     def deliver_to_target(self, message: actors.MessageToTarget) -> None:
-        """Hands a message to a target process."""
+        """Passes a message to a target process."""
         node = self.nodes[message.node]
         if node.state_machine is None:
             return
@@ -584,7 +597,7 @@
     def deliver_submit(
         self, node: actors.Node, attempt: attempt_lib.Attempt
     ) -> None:
-        """Takes a submission, which may be a late copy."""
+        """Handles a submission, which may be a late duplicate."""
         self.submission_arrived_ms[attempt.attempt_id] = self.now_ms
         if self.random.random() < VERSION_FETCH_PROBABILITY:
             held = self.versions[attempt.version - 1]
@@ -601,7 +614,7 @@
     def deliver_attach(
         self, node: actors.Node, attempt_id: bytes, number: int
     ) -> None:
-        """Takes the resumption of a run."""
+        """Handles a request to resume reading a run."""
         serving = node.servings.get(node.owners.get(attempt_id, b""))
         if serving is None or not serving.run.attach(attempt_id, number):
             caller = self.callers[self.caller_of_attempt[attempt_id]]
@@ -612,7 +625,7 @@
         self.flush(serving)
 
     def deliver_close(self, node: actors.Node, attempt_id: bytes) -> None:
-        """Takes a reader's word that it reads no more."""
+        """Handles the disconnect of a reader; the last one cancels the run."""
         owner_id = node.owners.get(attempt_id, b"")
         serving = node.servings.get(owner_id)
         if serving is None:
@@ -626,13 +639,13 @@
             node.servings.pop(owner_id, None)
 
     def execute_order(self, node: actors.Node, index: int, fate: int) -> None:
-        """Lets an engine take one order on its way.
+        """Executes one order in flight at an engine.
 
         Args:
             node: The VM.
             index: Which order.
-            fate: 0 done, 1 failed, 2 done but its answer is lost, which the
-                driver finds out by asking for the list.
+            fate: 0: succeeds. 1: fails. 2: succeeds but its response is lost,
+                which the driver detects by reading the list of adapters.
         """
         engine = node.engine
         if not engine.orders:
@@ -642,7 +655,7 @@
             self.counts["orders fenced off"] += 1
             return
         engine.fencing_token = order.order
-        # An engine refuses a load that it has no slot for.
+        # An engine rejects a load when it has no free adapter slot.
         failed = fate == 1 or (
             isinstance(order, event_lib.StartLoad)
             and len(engine.resident - {order.adapter}) >= ADAPTER_SLOTS
@@ -675,7 +688,7 @@
                 )
             )
         if len(engine.resident) > ADAPTER_SLOTS:
-            raise ViolationError("more adapters than slots")
+            raise ViolationError("more adapters than adapter slots")
         if epoch == node.epoch and not node.paused:
             self.feed(node, event)
         elif epoch == node.epoch:
@@ -686,7 +699,7 @@
             )
 
     def advance(self, by_ms: int) -> None:
-        """Lets time pass; deadlines are noticed, machines tick."""
+        """Advances time, ticks state machines and expires deadlines."""
         self.now_ms += by_ms
         for node in self.nodes.values():
             self.feed(node, event_lib.Ticked())
@@ -701,7 +714,7 @@
                 )
 
     def change_configuration(self, operation: operation_lib.Operation) -> None:
-        """Accepts a configuration change, if it is valid."""
+        """Applies a configuration change if it is valid."""
         held = self.versions[-1]
         document = operation_lib.apply(
             held.document,
@@ -716,14 +729,14 @@
         self.versions.append(holder_lib.Held(number, f"w{number}", document))
 
     def start_draining(self, node: actors.Node) -> None:
-        """Lets a process learn that its VM leaves."""
+        """Requests a process to drain."""
         if node.state_machine is None or node.paused:
             return
         self.feed(node, event_lib.DrainRequested())
         self.draining_since_ms[node.name] = self.now_ms
 
     def check(self) -> None:
-        """Checks what must hold after every step."""
+        """Checks the invariants that hold after every step."""
         for node in self.nodes.values():
             if (
                 node.state_machine is None
@@ -740,9 +753,11 @@
             )
             for adapter, slot in residency.slots.items():
                 if slot.grants != grants[adapter]:
-                    raise ViolationError(f"grants of {adapter} miscounted")
+                    raise ViolationError(f"grant count of {adapter} is wrong")
                 if (
                     slot.adapter_state is residency_lib.AdapterState.CLOSING
                     and slot.grants
                 ):
-                    raise ViolationError(f"{adapter} closing while granted")
+                    raise ViolationError(
+                        f"{adapter} is closing while it has grants"
+                    )
--- a/tests/stack/test_mutants.py
+++ b/tests/stack/test_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants still change the code that they were written for."""
+"""Tests that mutants still match the code that they change."""
 
 import pathlib
 
@@ -9,11 +9,11 @@
 
 
 def test_each_mutant_matches_exactly_once() -> None:
-    """A promise seems proved though its mutant changes nothing any more.
+    """Guards against mutants whose quoted code was rewritten.
 
-    The code that a mutant changed was rewritten, and nobody ran the mutant
-    since: ``placement.py: 0 times`` for one of former starts, ``roster.py: 0
-    times`` for the soak's one of targets that leave.
+    Such a mutant no longer tests its promise, which goes unnoticed until
+    somebody runs it. Mutants of ``placement.py`` (former incarnations) and
+    ``roster.py`` (draining targets, in the soak) matched 0 times.
     """
     for mutant in (*proof_mutants.MUTANTS, *soak_mutants.MUTANTS):
         package, _, _ = mutant.path.partition("/")
--- a/tests/stack/test_proofs.py
+++ b/tests/stack/test_proofs.py
@@ -1,4 +1,4 @@
-"""The state machines, with fixed seeds; ``proofs.soak`` runs them longer."""
+"""Runs the state machines with fixed seeds; ``proofs.soak`` runs longer."""
 
 from proofs import crashes
 from proofs import publication
@@ -10,7 +10,7 @@
 
 
 def test_serving_promises_hold_under_faults() -> None:
-    """Requests, kills, cuts, freezes and moves, any of them together."""
+    """Guards against broken serving promises under any mix of faults."""
     for seed in (1, 2):
         runner.run(serving.ServingMachine, seed=seed, examples=80, steps=100)
     assert serving.COUNTS["executions"] > 100
@@ -18,13 +18,17 @@
 
 
 def test_accepted_configuration_never_reverts() -> None:
-    """Operators race, answers are lost, writes land late."""
+    """Guards against lost changes when operators race and writes are late."""
     runner.run(publication.PublicationMachine, seed=1, examples=150, steps=50)
     assert publication.COUNTS["accepted"] > 50
 
 
 def test_only_crashing_requests_are_quarantined() -> None:
-    """Crashes, cuts of power, equal requests; words lost, twice and late."""
+    """Guards against quarantines of requests that don't crash targets.
+
+    Targets crash, also from power cuts under popular requests; reports are
+    lost, duplicated and late.
+    """
     for seed in (1, 2, 3):
         runner.run(crashes.CrashesMachine, seed=seed, examples=100, steps=60)
     assert crashes.COUNTS["fault crash"] > 100
@@ -33,7 +37,10 @@
 
 
 def test_state_of_former_incarnations_is_ignored() -> None:
-    """Restarts under one name; entries, words and reports in any order."""
+    """Guards against use of a former incarnation's adapters after a restart.
+
+    Records, status updates and reports arrive in any order.
+    """
     for seed in (1, 2, 3, 4, 5, 8, 9, 210):
         runner.run(
             starts.IncarnationsMachine, seed=seed, examples=100, steps=60
