--- a/proofs/mutants.py
+++ b/proofs/mutants.py
@@ -1,7 +1,7 @@
-"""Proofs that the proofs can fail: ``python -m proofs.mutants``.
+"""Mutation tests of the proofs: ``python -m proofs.mutants``.
 
-Each mutant changes one line of a scratch copy and must make the named proof
-fail. A proof that passes with the mutant would pass without the mechanism.
+Each mutant changes one line in a scratch copy of the code and must make its
+proof fail. A proof that passes with the mutant doesn't test the mechanism.
 """
 
 import concurrent.futures
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mutant:
-    """One changed line.
+    """A change to one place in the code.
 
     Attributes:
         promise: The promise whose mechanism it breaks.
         path: File below the package's ``src`` folder.
-        old: Text that stands there exactly once.
-        new: What replaces it.
-        proof: Arguments of the Python that must fail.
+        old: Text that occurs exactly once in the file.
+        new: Its replacement.
+        proof: Arguments of the Python command that must fail.
     """
 
     promise: str
@@ -954,14 +954,14 @@
 )
 
 
-def catches(mutant: Mutant) -> tuple[bool, str]:
+def run_mutant(mutant: Mutant) -> tuple[bool, str]:
     """Runs a mutant's proof against a scratch copy.
 
     Args:
         mutant: The mutant.
 
     Returns:
-        Whether the proof failed, and its last line.
+        Whether the proof failed, and its last error or output line.
     """
     with tempfile.TemporaryDirectory() as folder:
         for package in PACKAGES:
@@ -973,11 +973,11 @@
         text = path.read_text(encoding="utf-8")
         if text.count(mutant.old) != 1:
             raise click.ClickException(
-                f"{mutant.path}: {mutant.old!r} stands {text.count(mutant.old)}"
+                f"{mutant.path}: {mutant.old!r} occurs {text.count(mutant.old)}"
                 " times"
             )
         path.write_text(text.replace(mutant.old, mutant.new), encoding="utf-8")
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, *mutant.proof],
             cwd=ROOT,
             env={**os.environ, "PYTHONPATH": folder},
@@ -986,29 +986,29 @@
             timeout=TIMEOUT_S,
             check=False,
         )
-    lines = [line for line in done.stdout.splitlines() if line.strip()]
+    lines = [line for line in process.stdout.splitlines() if line.strip()]
     errors = [
         line
-        for line in done.stderr.splitlines()
+        for line in process.stderr.splitlines()
         if "Error" in line and not line.startswith(" ")
     ]
-    return done.returncode != 0, (errors or lines or ["?"])[-1]
+    return process.returncode != 0, (errors or lines or ["?"])[-1]
 
 
 @click.command()
 @click.option("--only", default="", help="Part of a promise or a path.")
 @click.option("--jobs", default=4, show_default=True)
 def main(only: str, jobs: int) -> None:
-    """Runs every mutant's proof and prints what was caught."""
+    """Runs every mutant's proof and prints which mutants were caught."""
     chosen = [m for m in MUTANTS if only in m.promise or only in m.path]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        verdicts = list(pool.map(catches, chosen))
-    for mutant, (caught, line) in zip(chosen, verdicts, strict=True):
-        word = "caught" if caught else "MISSED"
+        results = list(pool.map(run_mutant, chosen))
+    for mutant, (caught, line) in zip(chosen, results, strict=True):
+        label = "caught" if caught else "MISSED"
         change = mutant.new.strip().partition("\n")[0]
-        print(f"{word}  {mutant.promise}: {mutant.path}: {change}")
+        print(f"{label}  {mutant.promise}: {mutant.path}: {change}")
         print(f"        {line[:150]}")
-    caught_count = sum(caught for caught, _ in verdicts)
+    caught_count = sum(caught for caught, _ in results)
     print(f"caught {caught_count}, missed {len(chosen) - caught_count}")
     sys.exit(0 if caught_count == len(chosen) else 1)
 
--- a/proofs/publication.py
+++ b/proofs/publication.py
@@ -1,4 +1,4 @@
-"""The state machine over operators, the object API and followers."""
+"""State machine over operators, the object API and followers."""
 
 import collections
 import dataclasses
@@ -20,11 +20,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Operator:
-    """One proposal under way.
+    """An operator's proposal in progress.
 
     Attributes:
-        publisher: The shipped decisions.
-        step: What it does next.
+        publisher: The shipped publisher under test.
+        step: The next step.
     """
 
     publisher: publish.Publisher
@@ -32,13 +32,13 @@
 
 
 class Store:
-    """The object API: revisions, and writes that may land late."""
+    """The object API: revisions, and writes that may take effect late."""
 
     def __init__(self) -> None:
         """Starts empty."""
         self.values: dict[str, bytes] = {}
         self.revision = 0
-        self.late: list[publish.UpdateRoot] = []
+        self.late_updates: list[publish.UpdateRoot] = []
 
     def root(self) -> commit_lib.Root:
         """Returns the root in force."""
@@ -71,7 +71,7 @@
     def catch_up(
         self, held: holder_lib.HeldVersion, root: commit_lib.Root
     ) -> holder_lib.HeldVersion:
-        """Reads what is needed to hold a root's version."""
+        """Reads snapshots and commits up to a root's version."""
         while (plan := holder_lib.plan_catch_up(held, root)) is not None:
             if isinstance(plan, holder_lib.ReadSnapshot):
                 parts = [self.values[name] for name in plan.part_names]
@@ -89,15 +89,15 @@
 
 
 class PublicationMachine(stateful.RuleBasedStateMachine):
-    """Operators race, answers are lost, writes land late."""
+    """Operators race, responses are lost, writes take effect late."""
 
     @stateful.initialize()
     def begin(self) -> None:
         self.store = Store()
         self.operators: list[Operator] = []
-        self.count = 0
+        self.proposal_count = 0
         self.accepted: dict[str, int] = {}
-        self.refused: set[str] = set()
+        self.rejected: set[str] = set()
         self.holders = [holder_lib.Holder() for _ in range(FOLLOWERS)]
         self.roots = [commit_lib.EMPTY_ROOT]
 
@@ -110,7 +110,7 @@
     def propose(
         self, name: str, share: float | None, limit: int | None, stale: int
     ) -> None:
-        """An operator proposes on the version a follower holds."""
+        """An operator makes a proposal based on a follower's version."""
         base = self.holders[stale].held
         operations: list[operation_lib.Operation] = []
         if name not in base.document.customers:
@@ -130,48 +130,55 @@
                         kind="customers", name=name, field=field, value=value
                     )
                 )
-        self.count += 1
+        self.proposal_count += 1
         proposal = publish.Proposal(
-            write_id=f"w{self.count}",
-            operator=f"operator-{self.count}",
+            write_id=f"w{self.proposal_count}",
+            operator=f"operator-{self.proposal_count}",
             reason="",
             base=base,
             operations=tuple(operations),
         )
-        publisher = publish.Publisher(proposal, now_ms=self.count)
+        publisher = publish.Publisher(proposal, now_ms=self.proposal_count)
         self.operators.append(Operator(publisher, publisher.start()))
         COUNTS["proposals"] += 1
 
-    def step(self, index: int, fate: int) -> None:
-        """One operator's next call; fates 3 to 5 lose it or its answer."""
+    def step(self, index: int, outcome: int) -> None:
+        """Performs one operator's next call.
+
+        Args:
+            index: Which operator.
+            outcome: 0 to 2: the response arrives. 3: the response is lost.
+                4: the call is lost. 5: the response is lost, and a root update
+                takes effect late.
+        """
         if not self.operators:
             return
         operator = self.operators[index % len(self.operators)]
-        if fate >= 3:
+        if outcome >= 3:
             COUNTS["fault lost answer"] += 1
-        event = self._perform(operator, fate)
+        event = self._perform(operator, outcome)
         operator.step = operator.publisher.handle(event)
-        self._settle(operator)
+        self._record_outcome(operator)
 
-    def _perform(self, operator: Operator, fate: int) -> publish.Event:
+    def _perform(self, operator: Operator, outcome: int) -> publish.Event:
         match operator.step:
             case publish.CatchUp(held=held):
                 return self._catch_up(held)
             case publish.WriteCommit(name=name, data=data):
-                if fate != 4:
+                if outcome != 4:
                     self.store.values[name] = data
-                return publish.Written() if fate < 3 else publish.Uncertain()
+                return publish.Written() if outcome < 3 else publish.Uncertain()
             case publish.UpdateRoot() as update:
-                if fate == 5:
+                if outcome == 5:
                     COUNTS["fault late write"] += 1
-                    self.store.late.append(update)
+                    self.store.late_updates.append(update)
                     return publish.Uncertain()
-                if fate == 4:
+                if outcome == 4:
                     return publish.Uncertain()
-                took = self.store.update_root(update)
-                if fate == 3:
+                applied = self.store.update_root(update)
+                if outcome == 3:
                     return publish.Uncertain()
-                return publish.Written() if took else publish.Conflicted()
+                return publish.Written() if applied else publish.Conflicted()
         raise AssertionError(operator.step)
 
     def _catch_up(self, held: holder_lib.HeldVersion) -> publish.CaughtUp:
@@ -183,7 +190,7 @@
             self.store.chain(held.version),
         )
 
-    def _settle(self, operator: Operator) -> None:
+    def _record_outcome(self, operator: Operator) -> None:
         write_id = operator.publisher.proposal.write_id
         match operator.step:
             case publish.Accepted(version=version):
@@ -192,15 +199,15 @@
             case result.Failure(code=code):
                 COUNTS[f"refused {code.name}"] += 1
                 if code is not result.CHANGE_RACED:
-                    self.refused.add(write_id)
+                    self.rejected.add(write_id)
             case _:
                 return
         self.operators.remove(operator)
 
     @stateful.rule()
     def land_late_write(self) -> None:
-        if self.store.late:
-            self.store.update_root(self.store.late.pop(0))
+        if self.store.late_updates:
+            self.store.update_root(self.store.late_updates.pop(0))
 
     @stateful.rule(
         steps=st.lists(
@@ -210,13 +217,13 @@
         )
     )
     def race(self, steps: list[tuple[int, int]]) -> None:
-        """Operators' calls interleave; most answers arrive."""
-        for index, fate in steps:
-            self.step(index, fate if index < 4 else 0)
+        """Operators' calls interleave; most responses arrive."""
+        for index, outcome in steps:
+            self.step(index, outcome if index < 4 else 0)
 
     @stateful.rule(unlucky=st.integers(0, 5))
     def crash_operator(self, unlucky: int) -> None:
-        """An operator's process dies in the middle."""
+        """An operator's process crashes during a proposal."""
         if self.operators and unlucky == 0:
             COUNTS["fault crash"] += 1
             self.operators.pop(0)
@@ -235,24 +242,24 @@
 
     @stateful.rule(index=st.integers(0, FOLLOWERS - 1), old=st.integers(0, 4))
     def follow(self, index: int, old: int) -> None:
-        """A follower reads the root, maybe from an old answer."""
+        """A follower reads the root, possibly from an old response."""
         root = self.roots[max(0, len(self.roots) - 1 - old)]
         holder = self.holders[index]
         before = holder.held.version
         holder.offer(self.store.catch_up(holder.held, root))
         if holder.held.version < before:
-            raise AssertionError("the held version fell")
+            raise AssertionError("the held version decreased")
 
     @stateful.rule(
         index=st.integers(0, FOLLOWERS - 1), peer=st.integers(0, FOLLOWERS - 1)
     )
     def take_peers_version(self, index: int, peer: int) -> None:
-        """A process is offered what a peer holds, which may be older."""
+        """A process receives a peer's version, which may be older."""
         self.holders[index].offer(self.holders[peer].held)
 
     @stateful.rule(index=st.integers(0, FOLLOWERS - 1))
     def restart_follower(self, index: int) -> None:
-        """A process restarts; it takes a peer's version while cold."""
+        """A process restarts and starts from a peer's version."""
         COUNTS["fault restart"] += 1
         peer = self.holders[(index + 1) % FOLLOWERS].held
         self.holders[index] = holder_lib.Holder(peer)
@@ -264,21 +271,21 @@
         COUNTS["checks"] += 1
         root = self.store.root()
         if root.version < self.roots[-1].version:
-            raise AssertionError("the version in force fell")
+            raise AssertionError("the version of the root decreased")
         if root != self.roots[-1]:
             self.roots.append(root)
         chain = self.store.chain(0)
         numbers = [commit.version for commit in chain]
         if numbers != list(range(1, root.version + 1)):
-            raise AssertionError(f"versions {numbers} are not a chain")
+            raise AssertionError(f"versions {numbers} are not consecutive")
         found = {commit.write_id: commit.version for commit in chain}
         if len(found) != len(chain):
             raise AssertionError("a change was applied twice")
         for write_id, version in self.accepted.items():
             if found.get(write_id) != version:
                 raise AssertionError(f"accepted {write_id} is lost")
-        for write_id in self.refused & found.keys():
-            raise AssertionError(f"refused {write_id} took effect")
+        for write_id in self.rejected & found.keys():
+            raise AssertionError(f"rejected {write_id} was applied")
         self._check_documents(chain, root)
 
     def _check_documents(
@@ -293,7 +300,9 @@
             documents.append(held.document)
         in_force = self.store.catch_up(holder_lib.EMPTY, root)
         if in_force.document != held.document:
-            raise AssertionError("snapshot and commits differ")
+            raise AssertionError("the snapshot and the commits differ")
         for holder in self.holders:
             if holder.held.document != documents[holder.held.version]:
-                raise AssertionError("a follower holds another document")
+                raise AssertionError(
+                    "a follower's document differs from its version"
+                )
--- a/proofs/rate_limits.py
+++ b/proofs/rate_limits.py
@@ -139,7 +139,7 @@
         now_ms: Current virtual time.
         limit_per_s: The limit that the target advertises.
         gateways: The gateways by name.
-        loss: Part of the reports that is lost.
+        loss: Fraction of reports that are lost.
         arrivals: Requests that reached the target, in order.
     """
 
@@ -204,7 +204,7 @@
         Counts only arrivals from gateways that had to comply.
 
         Args:
-            since_ms: Windows that end earlier are ignored.
+            since_ms: Windows that end before this time are ignored.
         """
         worst = 0
         window: collections.deque[int] = collections.deque()
@@ -225,7 +225,7 @@
 
 
 class RateLimitsMachine(stateful.RuleBasedStateMachine):
-    """One target whose rate limit starts, changes and ends."""
+    """One target whose rate limit is introduced, changed and removed."""
 
     GATEWAYS = 8
 
@@ -237,7 +237,7 @@
         # Former limits, each with the time at which it was replaced.
         self.former_limits: list[tuple[int, float]] = []
         self.settled_at_ms = 0
-        self.judged_at_ms = 0
+        self.checked_until_ms = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed: int) -> None:
@@ -273,7 +273,7 @@
 
     @stateful.rule(loss=st.sampled_from((0.0, 0.3, 1.0)))
     def lose_reports(self, loss: float) -> None:
-        """Sets the part of the reports that is lost."""
+        """Sets the fraction of reports that are lost."""
         self.world.loss = loss
 
     @stateful.rule(at=st.integers(0, GATEWAYS - 1))
@@ -294,7 +294,7 @@
     def _allowed(self) -> float:
         # A higher former limit applies until gateways can have learned that it
         # was replaced.
-        since_ms = self.judged_at_ms - WINDOW_MS - SETTLE_MS
+        since_ms = self.checked_until_ms - WINDOW_MS - SETTLE_MS
         recent = [
             per_s
             for until_ms, per_s in self.former_limits
@@ -307,14 +307,14 @@
         """Gateways that must comply together send no more than is allowed."""
         if self.world is None or self.world.limit_per_s == UNLIMITED_PER_S:
             return
-        since_ms = max(self.settled_at_ms, self.judged_at_ms)
+        since_ms = max(self.settled_at_ms, self.checked_until_ms)
         worst = self.world.worst_window(since_ms)
         COUNTS["judged"] += 1
         COUNTS["judged at the limit"] += worst > 2
         assert worst <= self._allowed(), (
             f"{worst} requests, {self._allowed()} allowed"
         )
-        self.judged_at_ms = self.world.now_ms
+        self.checked_until_ms = self.world.now_ms
         oldest_ms = self.world.now_ms - 3 * WINDOW_MS
         self.world.arrivals = [
             one for one in self.world.arrivals if one.at_ms >= oldest_ms
--- a/proofs/usage.py
+++ b/proofs/usage.py
@@ -1,9 +1,9 @@
 """Gateways that share usage caps, in virtual time, under faults.
 
-The world plays what the driver of a gateway does around the shipped decisions:
-it sends their messages and waits for answers. Links delay, lose and
-cut; gateways freeze and are restarted with empty books; views of the members
-differ; caps are lowered and raised.
+The world simulates the driver of a gateway around the shipped decisions: it
+sends their messages and waits for responses. Messages are delayed and lost, and
+links are cut. Gateways are paused and restarted without state, have different
+views of the membership, and caps are lowered and raised.
 """
 
 import collections
@@ -26,15 +26,15 @@
 POLL_WAIT_MS = 12
 MIN_DELAY_MS = 1
 MAX_DELAY_MS = 6
-# A send follows its booking within this time.
+# Maximum time from a reservation to its send.
 MAX_SEND_DELAY_MS = usage_loan.RESERVATION_MS
 MS_PER_S = 1_000
-# For the rounding of sums of floats.
+# Tolerance for rounding errors in sums of floats.
 EPSILON = 1.0
-# A window that holds this part of the limit shows that the cap binds.
-AT_THE_CAP_PART = 0.8
+# A window above this fraction of the limit counts as at the cap.
+AT_CAP_FRACTION = 0.8
 
-Done = Callable[[bool], None]
+OnDone = Callable[[bool], None]
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,13 +49,13 @@
     """Gateways, links and a clock.
 
     Attributes:
-        now_ms: The clock, which all gateways share.
+        now_ms: Current virtual time, which all gateways share.
         gateways: The gateways by name.
         cuts: Pairs of gateways whose link is cut.
-        loss: Part of the messages that is lost.
-        sent: What was sent to targets, in order.
+        loss: Fraction of messages that are lost.
+        sent: Requests that were sent to targets, in order.
         cap: The cap in force.
-        message_bytes: Bytes of all messages.
+        message_bytes: Total size of all messages.
     """
 
     def __init__(
@@ -68,9 +68,9 @@
         """Starts with gateways that have run for a window.
 
         Args:
-            rules: How caps are judged.
-            cap: The cap of the one account.
-            count: How many gateways there are.
+            rules: Rules that caps are enforced by.
+            cap: The cap of the account.
+            count: Number of gateways.
             source: Random source of the links.
         """
         self.now_ms = 1_000_000
@@ -97,14 +97,14 @@
         heapq.heappush(self._events, (at_ms, next(self._numbers), action))
 
     def run_until(self, at_ms: int) -> None:
-        """Plays all events up to a moment."""
+        """Runs all events up to a time."""
         while self._events and self._events[0][0] <= at_ms:
             self.now_ms, _, action = heapq.heappop(self._events)
             action()
         self.now_ms = at_ms
 
     def send(self, by: str, to: str, message: usage_loan.Message) -> None:
-        """Puts a message on its way; it may come late or not at all."""
+        """Sends a message, which may be delayed or lost."""
         data = fleet_wire.encode(message)
         self.message_bytes += len(data)
         if frozenset((by, to)) in self.cuts or to not in self.gateways:
@@ -120,7 +120,7 @@
         self.sent.append(Sent(self.now_ms, cost))
 
     def worst_window(self, since_ms: int = 0) -> float:
-        """Returns the largest cost of any window that ends after a moment."""
+        """Returns the largest cost of any window that ends after a time."""
         worst = total = 0.0
         window: collections.deque[Sent] = collections.deque()
         for one in self.sent:
@@ -134,25 +134,25 @@
 
 
 class Gateway:
-    """One gateway around the shipped decisions."""
+    """One simulated gateway that runs the shipped decisions."""
 
     def __init__(
         self, world: World, name: str, others: set[str], started_ms: int
     ) -> None:
-        """Starts with empty books."""
+        """Starts without state."""
         self.world = world
         self.name = name
         self.others = others
-        self.thaws_at_ms = 0
-        self.run = 0
+        self.resumes_at_ms = 0
+        self.incarnation = 0
         self._inbox: list[tuple[usage_loan.Message, str]] = []
         self.start(started_ms)
 
     def start(self, started_ms: int) -> None:
-        """Starts the process again, with empty books."""
-        self.run += 1
+        """Starts a new incarnation without state."""
+        self.incarnation += 1
         self._inbox.clear()
-        self.books = usage_books.UsageShares(
+        self.shares = usage_books.UsageShares(
             self.world.rules,
             lambda: self.others,
             lambda: self.world.count,
@@ -160,40 +160,40 @@
             self.world.random,
         )
 
-    def freeze(self, for_ms: int) -> None:
-        """Stops the process for a while; messages wait for it."""
-        self.thaws_at_ms = self.world.now_ms + for_ms
-        self.world.after(for_ms, self._thaw)
+    def pause(self, for_ms: int) -> None:
+        """Pauses the process; messages wait until it resumes."""
+        self.resumes_at_ms = self.world.now_ms + for_ms
+        self.world.after(for_ms, self._resume)
 
     @property
-    def is_frozen(self) -> bool:
-        """Whether it stands still."""
-        return self.world.now_ms < self.thaws_at_ms
+    def is_paused(self) -> bool:
+        """Whether the process is paused."""
+        return self.world.now_ms < self.resumes_at_ms
 
-    def _thaw(self) -> None:
-        if self.is_frozen:
+    def _resume(self) -> None:
+        if self.is_paused:
             return
         waiting, self._inbox = self._inbox, []
         for message, sender in waiting:
             self._handle(message, sender)
 
     def _later(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Schedules an action of this run of the process."""
-        run = self.run
+        """Schedules an action of the current incarnation."""
+        incarnation = self.incarnation
 
         def act() -> None:
-            if run != self.run:
+            if incarnation != self.incarnation:
                 return
-            if self.is_frozen:
-                self._later(self.thaws_at_ms - self.world.now_ms, action)
+            if self.is_paused:
+                self._later(self.resumes_at_ms - self.world.now_ms, action)
                 return
             action()
 
         self.world.after(delay_ms, act)
 
     def receive(self, message: usage_loan.Message, sender: str) -> None:
-        """Takes a message, now or once it goes on."""
-        if self.is_frozen:
+        """Handles a message, after the pause if the process is paused."""
+        if self.is_paused:
             self._inbox.append((message, sender))
         else:
             self._handle(message, sender)
@@ -201,29 +201,29 @@
     def _handle(self, message: usage_loan.Message, sender: str) -> None:
         now_ms = self.world.now_ms
         if isinstance(message, usage_loan.LoanRequest):
-            loan = self.books.lend(message, self.world.cap, now_ms)
+            loan = self.shares.lend(message, self.world.cap, now_ms)
             self.world.send(self.name, sender, loan)
         else:
-            self.books.on_loan(message, now_ms)
+            self.shares.on_loan(message, now_ms)
 
-    def request(self, cost: float, done: Done | None = None) -> None:
+    def request(self, cost: float, done: OnDone | None = None) -> None:
         """Admits or rejects one request, and sends it if admitted."""
-        if self.is_frozen:
+        if self.is_paused:
             return
         self._admit(cost, self.world.now_ms + LOAN_WAIT_MS, done)
 
-    def _admit(self, cost: float, until_ms: int, done: Done | None) -> None:
+    def _admit(self, cost: float, until_ms: int, done: OnDone | None) -> None:
         now_ms, cap = self.world.now_ms, self.world.cap
-        if self.books.reserve(ACCOUNT, cap, cost, now_ms) is not None:
-            if self.books.borrow_ahead_amount(ACCOUNT, cap, now_ms):
-                self._ask(0.0)
+        if self.shares.reserve(ACCOUNT, cap, cost, now_ms) is not None:
+            if self.shares.borrow_ahead_amount(ACCOUNT, cap, now_ms):
+                self._request_loans(0.0)
             self._send_soon(cost)
             if done is not None:
                 done(True)
             return
-        self._ask(self.books.missing(ACCOUNT, cap, cost, now_ms))
+        self._request_loans(self.shares.missing(ACCOUNT, cap, cost, now_ms))
         if (
-            self.books.is_borrowing_paused(ACCOUNT, now_ms)
+            self.shares.is_borrowing_paused(ACCOUNT, now_ms)
             or now_ms >= until_ms
         ):
             if done is not None:
@@ -233,14 +233,18 @@
         self._later(pause_ms, lambda: self._admit(cost, until_ms, done))
 
     def _send_soon(self, cost: float) -> None:
-        # The target gets it whatever becomes of this process; a frozen one
-        # books anew first.
+        # Sends only if the process was neither restarted nor paused, since a
+        # paused gateway makes a new reservation before it sends.
         delay_ms = self.world.random.choice((0, 0, 1, MAX_SEND_DELAY_MS))
-        run, booked_ms = self.run, self.world.now_ms
+        incarnation, reserved_at_ms = self.incarnation, self.world.now_ms
 
         def send() -> None:
-            late = self.world.now_ms - booked_ms > MAX_SEND_DELAY_MS
-            if run == self.run and not self.is_frozen and not late:
+            is_late = self.world.now_ms - reserved_at_ms > MAX_SEND_DELAY_MS
+            if (
+                incarnation == self.incarnation
+                and not self.is_paused
+                and not is_late
+            ):
                 self.world.record(cost)
 
         if delay_ms:
@@ -248,13 +252,15 @@
         else:
             self.world.record(cost)
 
-    def _ask(self, need: float) -> None:
-        for lender, ask in self.books.ask(ACCOUNT, need, self.world.now_ms):
-            self.world.send(self.name, lender, ask)
+    def _request_loans(self, amount: float) -> None:
+        for lender, loan_request in self.shares.ask(
+            ACCOUNT, amount, self.world.now_ms
+        ):
+            self.world.send(self.name, lender, loan_request)
 
 
 class UsageMachine(stateful.RuleBasedStateMachine):
-    """One account, at and beyond its cap, at gateways under faults."""
+    """One account at and above its cap, with gateways under faults."""
 
     GATEWAYS = 5
     RULES = usage_books.Rules(4_000, 0.1, 2_000.0)
@@ -265,8 +271,8 @@
         super().__init__()
         self.world: World | None = None
         self.names: list[str] = []
-        self.caps: list[tuple[int, float]] = []
-        self.judged_ms = 0
+        self.former_caps: list[tuple[int, float]] = []
+        self.checked_until_ms = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed: int) -> None:
@@ -283,7 +289,7 @@
         spread_ms=st.sampled_from((0, 20, 500)),
     )
     def rush(self, at: int, cost: float, count: int, spread_ms: int) -> None:
-        """Requests come to one gateway."""
+        """One gateway receives requests."""
         gateway = self.world.gateways[self.names[at]]
         for number in range(count):
             self.world.after(
@@ -296,7 +302,7 @@
         per_s=st.sampled_from((5, 60)), for_ms=st.integers(200, 6_000)
     )
     def even(self, per_s: int, for_ms: int) -> None:
-        """Requests come to all gateways."""
+        """All gateways receive requests."""
         total = per_s * for_ms // MS_PER_S
         for number in range(total):
             gateway = self.world.gateways[self.names[number % self.GATEWAYS]]
@@ -309,12 +315,12 @@
 
     @stateful.rule(pause_ms=st.sampled_from((1, 40, 700, 1_500, 5_000)))
     def pause(self, pause_ms: int) -> None:
-        """Nothing comes for a while."""
+        """No requests arrive for a while."""
         self.world.run_until(self.world.now_ms + pause_ms)
 
     @stateful.rule(side=st.integers(1, 2**GATEWAYS - 2))
     def cut(self, side: int) -> None:
-        """Gateways are cut in two parts."""
+        """A network partition separates the gateways into two groups."""
         self.world.cuts = {
             frozenset((a, b))
             for i, a in enumerate(self.names)
@@ -338,8 +344,8 @@
         for_ms=st.sampled_from((300, 900, 2_500, 5_000)),
     )
     def freeze(self, at: int, for_ms: int) -> None:
-        """A gateway stands still."""
-        self.world.gateways[self.names[at]].freeze(for_ms)
+        """A gateway is paused."""
+        self.world.gateways[self.names[at]].pause(for_ms)
         COUNTS["fault freeze"] += 1
 
     @stateful.rule(at=st.integers(0, GATEWAYS - 1), known=st.integers(0, 31))
@@ -355,14 +361,14 @@
 
     @stateful.rule(at=st.integers(0, GATEWAYS - 1))
     def restart(self, at: int) -> None:
-        """A gateway is restarted and forgets its books."""
+        """A gateway is restarted and loses its state."""
         self.world.gateways[self.names[at]].start(self.world.now_ms)
         COUNTS["fault restart"] += 1
 
     @stateful.rule(part=st.sampled_from((0.2, 0.5, 1.0)))
     def change_cap(self, part: float) -> None:
-        """The operator changes the cap; a lower one binds a window later."""
-        self.caps.append((self.world.now_ms, self._bound()))
+        """The operator changes the cap; a lower one applies with a delay."""
+        self.former_caps.append((self.world.now_ms, self._bound()))
         self.world.cap = dataclasses.replace(
             self.CAP,
             rate_per_s=part * self.CAP.rate_per_s,
@@ -375,25 +381,30 @@
         return limit * (1 + self.RULES.overage) + self.RULES.tolerance
 
     def _allowed(self) -> float:
-        """Returns what a window may hold that ends since the last judgement."""
-        binds_ms = self.RULES.window_ms + usage_loan.LOAN_TERM_MS
-        since_ms = self.judged_ms - binds_ms
-        lately = [bound for until_ms, bound in self.caps if until_ms > since_ms]
-        return max([self._bound(), *lately])
+        """Returns the maximum cost of a window that ends after the last check.
+
+        A former cap still counts for one window and one loan term.
+        """
+        settle_ms = self.RULES.window_ms + usage_loan.LOAN_TERM_MS
+        since_ms = self.checked_until_ms - settle_ms
+        recent = [
+            bound for until_ms, bound in self.former_caps if until_ms > since_ms
+        ]
+        return max([self._bound(), *recent])
 
     @stateful.invariant()
     def no_window_exceeds_the_cap(self) -> None:
-        """In no window is more sent than the rules allow."""
+        """No window contains more cost than the rules allow."""
         if self.world is None:
             return
-        worst = self.world.worst_window(self.judged_ms)
+        worst = self.world.worst_window(self.checked_until_ms)
         allowed = self._allowed()
         assert worst <= allowed + EPSILON, f"{worst} of {allowed}"
         limit = self.world.cap.limit(self.RULES.window_ms)
-        COUNTS["judged at the cap"] += worst > AT_THE_CAP_PART * limit
-        self.judged_ms = self.world.now_ms
-        # Each window is judged once; an older history would slow the run.
-        oldest_ms = self.judged_ms - 2 * self.RULES.window_ms
+        COUNTS["judged at the cap"] += worst > AT_CAP_FRACTION * limit
+        self.checked_until_ms = self.world.now_ms
+        # Each window is checked once; older sends would only slow the run.
+        oldest_ms = self.checked_until_ms - 2 * self.RULES.window_ms
         self.world.sent = [
             one for one in self.world.sent if one.at_ms >= oldest_ms
         ]
