--- a/bench/path.py
+++ b/bench/path.py
@@ -151,13 +151,13 @@
         Figures by name of the way.
     """
     overrides = {"target": {"max_running": 64, "poll_ms": 1000}}
-    engine_words = ("--max-batch", "64")
+    engine_options = ("--max-batch", "64")
     with fixtures.running_site(
         engines=engines,
-        desks=0,
+        plain_targets=0,
         entries=1,
         step_ms=25.0,
-        engine_words=engine_words,
+        engine_options=engine_options,
         **overrides,
     ) as site:
         idle_mib = resident_mib(site, "entry-1")
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -26,7 +26,7 @@
             yield name
 
 
-def load(names: Iterator[str]) -> unittest.TestSuite:
+def load_tests(names: Iterator[str]) -> unittest.TestSuite:
     """Wraps every test function for ``unittest``."""
     suite = unittest.TestSuite()
     for name in names:
@@ -42,7 +42,7 @@
     return suite
 
 
-def known_red() -> set[str]:
+def read_known_red() -> set[str]:
     """Returns the tests whose faults are known and not yet mended."""
     if not KNOWN_RED.exists():
         return set()
@@ -50,7 +50,7 @@
     return {line.partition(":")[0].strip() for line in lines if line.strip()}
 
 
-class Report(unittest.TextTestResult):
+class TimedResult(unittest.TextTestResult):
     """Prints each test with the time it took, for a reader to look at."""
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
@@ -60,26 +60,26 @@
 
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
         """Prints the time."""
-        took_s = time.monotonic() - self._started_s
+        elapsed_s = time.monotonic() - self._started_s
         if self.showAll:
-            self.stream.writeln(f"    {took_s:.1f} s")
+            self.stream.writeln(f"    {elapsed_s:.1f} s")
         super().stopTest(test)
 
 
 def main() -> int:
     """Runs the suite and prints ``N passed, N failed``."""
-    suite = load(find_modules(sys.argv[1:]))
-    runner = unittest.TextTestRunner(verbosity=2, resultclass=Report)
+    suite = load_tests(find_modules(sys.argv[1:]))
+    runner = unittest.TextTestRunner(verbosity=2, resultclass=TimedResult)
     outcome = runner.run(suite)
-    broken = {
+    failures = {
         test.shortDescription(): trace
         for test, trace in [*outcome.failures, *outcome.errors]
     }
-    red = known_red() & broken.keys()
-    for name in sorted(red):
+    known_failures = read_known_red() & failures.keys()
+    for name in sorted(known_failures):
         print(f"known red: {name}")
-    failed = len(broken) - len(red)
-    passed = outcome.testsRun - len(broken)
+    failed = len(failures) - len(known_failures)
+    passed = outcome.testsRun - len(failures)
     print(f"{passed} passed, {failed} failed", flush=True)
     return 1 if failed or not outcome.testsRun else 0
 
--- a/tests/daemon/fixtures.py
+++ b/tests/daemon/fixtures.py
@@ -67,7 +67,7 @@
         return self.json()["error"]["executed"]
 
 
-CUT = Answer(0, {}, b"", whole=False)
+NO_ANSWER = Answer(0, {}, b"", whole=False)
 
 
 def call(
@@ -102,15 +102,15 @@
                     )
                 return Answer(response.status, fields, b"".join(parts))
         except NETWORK_ERRORS:
-            return CUT
+            return NO_ANSWER
 
 
-def wait_until(holds: Any, what: str) -> None:
+def wait_until(condition: Any, description: str) -> None:
     """Waits for a condition; the limit only ends a run that hangs."""
-    give_up_s = time.monotonic() + READY_LIMIT_S
-    while not holds():
-        if time.monotonic() > give_up_s:
-            raise TimeoutError(f"still not: {what}")
+    deadline_s = time.monotonic() + READY_LIMIT_S
+    while not condition():
+        if time.monotonic() > deadline_s:
+            raise TimeoutError(f"still not: {description}")
         time.sleep(POLL_S)
 
 
@@ -188,10 +188,10 @@
         ]
         call("POST", self.url("platform", "/standin/vms"), {"vms": vms})
 
-    def radishctl(self, *words: str) -> subprocess.CompletedProcess[str]:
+    def radishctl(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """Runs the operators' command line."""
         command = [sys.executable, "-m", "radishctl.cli"]
-        command += ["--platform", self.url("platform"), *words]
+        command += ["--platform", self.url("platform"), *arguments]
         return subprocess.run(
             command, capture_output=True, text=True, check=False
         )
@@ -206,7 +206,7 @@
             "POST", self.url(entry, "/v1/completions"), body, headers=headers
         )
 
-    def book(self, entry: str, key: str, body: Any) -> Answer:
+    def reserve(self, entry: str, key: str, body: Any) -> Answer:
         """Calls the non-idempotent plain service."""
         return call(
             "POST",
@@ -229,13 +229,13 @@
 def document(site: Site) -> dict[str, Any]:
     """Returns the document of the site."""
     engines = [name for name in site.targets if name.startswith("engine")]
-    plains = [name for name in site.targets if name.startswith("desk")]
+    plain_names = [name for name in site.targets if name.startswith("desk")]
     booking = {
         "name": "booking",
         "customer": "lab",
         "kind": "plain",
         "idempotent": False,
-        "targets": plains,
+        "targets": plain_names,
     }
     return {
         "customers": [{"name": "rental-house"}, {"name": "lab", "share": 2.0}],
@@ -256,7 +256,7 @@
                 "targets": engines,
                 "adapter": ADAPTERS[0],
             },
-            *([booking] if plains else []),
+            *([booking] if plain_names else []),
         ],
         "adapters": [
             {
@@ -271,7 +271,7 @@
     }
 
 
-def _settings(site: Site, name: str, overrides: dict[str, Any]) -> None:
+def _write_settings(site: Site, name: str, overrides: dict[str, Any]) -> None:
     host = site.hosts[name]
     settings: dict[str, Any] = {
         "name": name,
@@ -315,7 +315,7 @@
     ]
 
 
-def _standin(site: Site, name: str, module: str, *words: str) -> None:
+def _add_standin(site: Site, name: str, module: str, *arguments: str) -> None:
     site.commands[name] = [
         sys.executable,
         "-m",
@@ -324,7 +324,7 @@
         site.hosts[name],
         "--port",
         str(PORT),
-        *words,
+        *arguments,
     ]
 
 
@@ -332,29 +332,29 @@
 def running_site(
     *,
     engines: int = 2,
-    desks: int = 1,
+    plain_targets: int = 1,
     entries: int = 2,
     step_ms: float = 5.0,
     load_ms: float = 60.0,
-    engine_words: tuple[str, ...] = (),
+    engine_options: tuple[str, ...] = (),
     **overrides: Any,
 ) -> Iterator[Site]:
     """Runs a site of separate processes with its document in force.
 
     Args:
         engines: Model engines, each with its target process.
-        desks: Plain services, each with its target process.
+        plain_targets: Plain services, each with its target process.
         entries: Entry daemons.
         step_ms: Time between the engines' tokens.
         load_ms: Time of an adapter load at the engines.
-        engine_words: Further options of the engines.
+        engine_options: Further options of the engines.
         **overrides: Settings by role or process name.
 
     Yields:
         The site, every process ready.
     """
     targets = [f"engine-{i + 1}" for i in range(engines)]
-    targets += [f"desk-{i + 1}" for i in range(desks)]
+    targets += [f"desk-{i + 1}" for i in range(plain_targets)]
     entry_names = tuple(f"entry-{i + 1}" for i in range(entries))
     names = ["platform", "weights", *entry_names]
     for target in targets:
@@ -364,21 +364,26 @@
         site = Site(
             pathlib.Path(folder), hosts, {}, {}, entry_names, tuple(targets)
         )
-        _standin(site, "platform", "objects")
-        _standin(site, "weights", "weights", "--rate-per-s", "50")
+        _add_standin(site, "platform", "objects")
+        _add_standin(site, "weights", "weights", "--rate-per-s", "50")
         for target in targets:
-            behind = f"{target}-behind"
+            backend = f"{target}-behind"
             if target.startswith("engine"):
-                words = ["--step-ms", str(step_ms), "--load-ms", str(load_ms)]
-                words += ["--weight-store-url", site.url("weights")]
-                words += ["--slot-count", "4", *engine_words]
-                _standin(site, behind, "engine", *words)
+                arguments = [
+                    "--step-ms",
+                    str(step_ms),
+                    "--load-ms",
+                    str(load_ms),
+                ]
+                arguments += ["--weight-store-url", site.url("weights")]
+                arguments += ["--slot-count", "4", *engine_options]
+                _add_standin(site, backend, "engine", *arguments)
             else:
-                _standin(site, behind, "plain")
+                _add_standin(site, backend, "plain")
         for name in (*entry_names, *targets):
-            _settings(site, name, overrides)
+            _write_settings(site, name, overrides)
         try:
-            yield _bring_up(site)
+            yield _start_site(site)
         finally:
             for process in site.processes.values():
                 if process.poll() is None:
@@ -387,7 +392,7 @@
                     process.wait()
 
 
-def _bring_up(site: Site) -> Site:
+def _start_site(site: Site) -> Site:
     for name in site.commands:
         site.start(name)
     wait_until(
--- a/tests/daemon/records.py
+++ b/tests/daemon/records.py
@@ -28,7 +28,7 @@
     answer: fixtures.Answer
 
 
-class Crew:
+class CallerGroup:
     """Callers that go on asking while faults happen."""
 
     def __init__(self, site: fixtures.Site, *, tokens: int = 12) -> None:
@@ -40,19 +40,19 @@
         self._threads: list[threading.Thread] = []
         self._lock = threading.Lock()
 
-    def start(self, *, bookers: int, streamers: int) -> None:
+    def start(self, *, booking_callers: int, streaming_callers: int) -> None:
         """Starts callers of both kinds."""
-        for number in range(bookers):
-            self._spawn(self._book, number)
-        for number in range(streamers):
-            self._spawn(self._stream, number)
+        for number in range(booking_callers):
+            self._spawn(self._send_bookings, number)
+        for number in range(streaming_callers):
+            self._spawn(self._send_streams, number)
 
     def _spawn(self, work: Callable[[int], None], number: int) -> None:
         thread = threading.Thread(target=work, args=(number,))
         thread.start()
         self._threads.append(thread)
 
-    def _keep(self, record: Record) -> None:
+    def _add_record(self, record: Record) -> None:
         with self._lock:
             self.records.append(record)
 
@@ -64,7 +64,7 @@
                 for one in self.records
             )
 
-    def _book(self, number: int) -> None:
+    def _send_bookings(self, number: int) -> None:
         entries = itertools.cycle(self.site.entries)
         for index in itertools.count():
             if self._stop.is_set():
@@ -73,10 +73,10 @@
             # Each key is sent twice, through both entries, whatever came of
             # the first.
             for entry in (next(entries), next(entries)):
-                answer = self.site.book(entry, key, {"n": index})
-                self._keep(Record("book", key, "", answer))
+                answer = self.site.reserve(entry, key, {"n": index})
+                self._add_record(Record("book", key, "", answer))
 
-    def _stream(self, number: int) -> None:
+    def _send_streams(self, number: int) -> None:
         entries = itertools.cycle(self.site.entries)
         for index in itertools.count():
             if self._stop.is_set():
@@ -91,7 +91,7 @@
                 max_tokens=self.tokens,
                 headers={"X-Request-Id": name},
             )
-            self._keep(Record("stream", name, f"{adapter}@1", answer))
+            self._add_record(Record("stream", name, f"{adapter}@1", answer))
 
     def finish(self) -> None:
         """Lets every caller end the request it has and stop."""
@@ -99,19 +99,19 @@
         for thread in self._threads:
             thread.join()
 
-    def check(self, desks: list[dict], engines: list[dict]) -> None:
+    def check(self, plain_targets: list[dict], engines: list[dict]) -> None:
         """Compares the records with what was executed.
 
         Args:
-            desks: States of the plain services.
+            plain_targets: States of the plain services.
             engines: States of the engines.
         """
-        by_key: collections.Counter[str] = collections.Counter()
-        for state in desks:
-            by_key.update(state["executions"])
-        doubled = {key: n for key, n in by_key.items() if n > 1}
-        assert not doubled, doubled
-        ran = collections.Counter(
+        executions_by_key: collections.Counter[str] = collections.Counter()
+        for state in plain_targets:
+            executions_by_key.update(state["executions"])
+        duplicates = {key: n for key, n in executions_by_key.items() if n > 1}
+        assert not duplicates, duplicates
+        executions_by_request = collections.Counter(
             execution["request_id"]
             for state in engines
             for execution in state["executions"]
@@ -120,9 +120,9 @@
             assert not state["violations"], state["violations"]
         for record in self.records:
             if record.kind == "book":
-                _check_booking(record, by_key[record.name])
+                _check_booking(record, executions_by_key[record.name])
             else:
-                self._check_stream(record, ran[record.name])
+                self._check_stream(record, executions_by_request[record.name])
 
     def _check_stream(self, record: Record, executions: int) -> None:
         answer = record.answer
--- a/tests/daemon/cutter.py
+++ b/tests/daemon/relay.py
@@ -5,16 +5,18 @@
 import socket
 import threading
 
-RELAY_BYTES = 65_536
+READ_BYTES = 65_536
 
 
-class Cutter:
+class TcpRelay:
     """Relays TCP connections until they are cut."""
 
-    def __init__(self, listener: socket.socket, to: tuple[str, int]) -> None:
+    def __init__(
+        self, listener: socket.socket, destination: tuple[str, int]
+    ) -> None:
         """Starts to accept."""
         self._listener = listener
-        self._to = to
+        self._destination = destination
         self._sockets: list[socket.socket] = []
         self._lock = threading.Lock()
         self.relayed_bytes = 0
@@ -23,53 +25,53 @@
     def _accept(self) -> None:
         while True:
             try:
-                near, _ = self._listener.accept()
-                far = socket.create_connection(self._to)
+                client, _ = self._listener.accept()
+                server = socket.create_connection(self._destination)
             except OSError:
                 return
             with self._lock:
-                self._sockets += [near, far]
-            for source, sink in ((near, far), (far, near)):
+                self._sockets += [client, server]
+            for source, sink in ((client, server), (server, client)):
                 threading.Thread(
-                    target=self._relay, args=(source, sink), daemon=True
+                    target=self._forward, args=(source, sink), daemon=True
                 ).start()
 
-    def _relay(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            while data := source.recv(RELAY_BYTES):
+            while data := source.recv(READ_BYTES):
                 sink.sendall(data)
                 self.relayed_bytes += len(data)
-        for one in (source, sink):
+        for endpoint in (source, sink):
             with contextlib.suppress(OSError):
-                one.shutdown(socket.SHUT_RDWR)
+                endpoint.shutdown(socket.SHUT_RDWR)
 
-    def cut(self) -> int:
+    def abort_connections(self) -> int:
         """Cuts every connection and returns how many there were."""
         with self._lock:
             sockets, self._sockets = self._sockets, []
-        for one in sockets:
+        for endpoint in sockets:
             with contextlib.suppress(OSError):
-                one.shutdown(socket.SHUT_RDWR)
-            one.close()
+                endpoint.shutdown(socket.SHUT_RDWR)
+            endpoint.close()
         return len(sockets) // 2
 
 
 @contextlib.contextmanager
-def open_cutter(
-    address: tuple[str, int], to: tuple[str, int]
-) -> Iterator[Cutter]:
+def open_relay(
+    address: tuple[str, int], destination: tuple[str, int]
+) -> Iterator[TcpRelay]:
     """Relays from an address to another one.
 
     Args:
         address: Where to listen.
-        to: Where to connect.
+        destination: Where to connect.
 
     Yields:
         The relay.
     """
     with socket.create_server(address) as listener:
-        cutter = Cutter(listener, to)
+        relay = TcpRelay(listener, destination)
         try:
-            yield cutter
+            yield relay
         finally:
-            cutter.cut()
+            relay.abort_connections()
--- a/tests/daemon/test_bad_input.py
+++ b/tests/daemon/test_bad_input.py
@@ -43,7 +43,7 @@
     _check(fixtures.call("GET", nowhere), result.PATH_UNKNOWN)
     booking = site.url(entry, "/v1/services/booking/reserve")
     _check(fixtures.call("POST", booking, {}), result.KEY_MISSING)
-    _check(site.book(entry, "k" * 300, {}), result.KEY_INVALID)
+    _check(site.reserve(entry, "k" * 300, {}), result.KEY_INVALID)
     unknown = site.url(entry, "/v1/services/nobody/x")
     _check(fixtures.call("POST", unknown, {}), result.SERVICE_UNKNOWN)
     wrong = site.url(entry, "/v1/services/assistant/x")
@@ -58,7 +58,7 @@
     _check(answer, result.HEADERS_TOO_LARGE)
 
 
-def test_bad_input_is_refused_and_nothing_runs() -> None:
+def test_bad_input_is_rejected_and_nothing_runs() -> None:
     """Every kind of bad input of the callers' interface."""
     overrides = {"entry": {"max_body_bytes": 2048}}
     with fixtures.running_site(entries=1, engines=1, **overrides) as site:
@@ -67,14 +67,14 @@
         assert site.state("desk-1-behind")["executions"] == {}
 
 
-def test_caller_gone_in_mid_stream_cancels_the_work() -> None:
+def test_caller_disconnect_in_mid_stream_cancels_the_work() -> None:
     """The engine stops generating for a caller that has left.
 
     Symptom: engines busy with answers that nobody reads. Sequence: a caller
     reads the first events of a long stream and closes its connection. Cause
     without the mechanism: nobody tells the target process, which reads on.
     """
-    with fixtures.running_site(entries=1, engines=1, desks=0) as site:
+    with fixtures.running_site(entries=1, engines=1, plain_targets=0) as site:
         body = (
             b'{"model": "adapter-1", "prompt": "x", "stream": true, '
             b'"max_tokens": 100000}'
@@ -100,9 +100,9 @@
         assert site.status("entry-1")["in_flight"] == 0
 
 
-def test_operators_side_is_not_on_the_callers_port() -> None:
+def test_admin_paths_are_not_on_the_callers_port() -> None:
     """Health, metrics and status answer on the admin port alone."""
-    with fixtures.running_site(entries=1, engines=1, desks=0) as site:
+    with fixtures.running_site(entries=1, engines=1, plain_targets=0) as site:
         paths = ("/status", "/metrics", "/healthz", "/readyz", "/objects/x")
         for path, port in itertools.product(paths, (fixtures.PORT,)):
             answer = fixtures.call("GET", site.url("entry-1", path, port=port))
--- a/tests/daemon/test_cuts.py
+++ b/tests/daemon/test_cuts.py
@@ -5,13 +5,13 @@
 
 from standins import answer as answer_lib
 
-from tests.daemon import cutter as cutter_lib
 from tests.daemon import fixtures
+from tests.daemon import relay as relay_lib
 
 TOKENS = 80
 
 
-def test_cut_connections_resume_the_same_run() -> None:
+def test_aborted_connections_resume_the_same_run() -> None:
     """A stream cut twice in the middle comes back whole from one run.
 
     Symptom: a short answer, or one generated twice. Sequence: the connection
@@ -20,19 +20,25 @@
     entry submits it anew.
     """
     with fixtures.running_site(
-        engines=1, desks=0, entries=1, step_ms=15.0
+        engines=1, plain_targets=0, entries=1, step_ms=15.0
     ) as site:
         host = site.hosts["engine-1"]
-        relay = (host, fixtures.PORT + 10)
-        with cutter_lib.open_cutter(relay, (host, fixtures.PORT)) as cutter:
-            moved = site.radishctl(
-                "target", "set", "engine-1", "address", f"{relay[0]}:{relay[1]}"
+        relay_address = (host, fixtures.PORT + 10)
+        with relay_lib.open_relay(
+            relay_address, (host, fixtures.PORT)
+        ) as relay:
+            changed = site.radishctl(
+                "target",
+                "set",
+                "engine-1",
+                "address",
+                f"{relay_address[0]}:{relay_address[1]}",
             )
-            assert moved.returncode == 0, moved
+            assert changed.returncode == 0, changed
             site.wait_in_force(2)
             answers: list[fixtures.Answer] = []
 
-            def ask() -> None:
+            def send_request() -> None:
                 answers.append(
                     site.complete(
                         "entry-1",
@@ -43,15 +49,17 @@
                     )
                 )
 
-            caller = threading.Thread(target=ask)
+            caller = threading.Thread(target=send_request)
             caller.start()
             for _ in range(2):
-                seen = cutter.relayed_bytes
+                relayed_before = relay.relayed_bytes
                 fixtures.wait_until(
-                    lambda seen=seen: cutter.relayed_bytes > seen + 2_000,
+                    lambda relayed_before=relayed_before: (
+                        relay.relayed_bytes > relayed_before + 2_000
+                    ),
                     "some chunks were relayed",
                 )
-                assert cutter.cut() >= 1
+                assert relay.abort_connections() >= 1
             caller.join()
         assert answers[0].whole, answers
         fields = {"prompt": "long", "max_tokens": TOKENS}
@@ -60,15 +68,15 @@
         assert len(site.state("engine-1-behind")["executions"]) == 1
 
 
-def test_garbage_on_a_connection_ends_only_that_connection() -> None:
+def test_garbage_on_a_connection_closes_only_that_connection() -> None:
     """Bytes that are no frame cost their sender its connection, no more."""
-    with fixtures.running_site(engines=1, desks=0, entries=1) as site:
+    with fixtures.running_site(engines=1, plain_targets=0, entries=1) as site:
         address = (site.hosts["engine-1"], fixtures.PORT)
         for garbage in (b"\xff" * 64, b"\x08\0\0\0garbage!", b"GET / HTTP/1"):
-            with socket.create_connection(address) as rude:
-                rude.sendall(garbage)
-                rude.shutdown(socket.SHUT_WR)
-                while rude.recv(4_096):
+            with socket.create_connection(address) as connection:
+                connection.sendall(garbage)
+                connection.shutdown(socket.SHUT_WR)
+                while connection.recv(4_096):
                     pass
         assert site.complete("entry-1", "adapter-1", "x").status == 200
         assert site.ready("engine-1")
--- a/tests/daemon/test_faults.py
+++ b/tests/daemon/test_faults.py
@@ -8,26 +8,27 @@
 QUARANTINE_MS = 1_500
 
 
-def _settle(site: fixtures.Site, crew: records.Crew) -> None:
+def _stop_and_check(site: fixtures.Site, callers: records.CallerGroup) -> None:
     """Ends the callers and compares their records with the executions."""
-    crew.finish()
-    desks = [name for name in site.targets if name.startswith("desk")]
+    callers.finish()
+    plain_targets = [name for name in site.targets if name.startswith("desk")]
     engines = [name for name in site.targets if name.startswith("engine")]
-    crew.check(
-        [site.state(f"{name}-behind") for name in desks],
+    callers.check(
+        [site.state(f"{name}-behind") for name in plain_targets],
         [site.state(f"{name}-behind") for name in engines],
     )
 
 
-def _wait_more(crew: records.Crew, kind: str, more: int) -> None:
+def _wait_for_more(callers: records.CallerGroup, kind: str, more: int) -> None:
     """Waits until callers have got some more whole answers."""
-    wanted = crew.count(kind, whole=True) + more
+    expected = callers.count(kind, whole=True) + more
     fixtures.wait_until(
-        lambda: crew.count(kind, whole=True) >= wanted, f"{more} more {kind}"
+        lambda: callers.count(kind, whole=True) >= expected,
+        f"{more} more {kind}",
     )
 
 
-def test_killed_target_processes_double_and_lose_nothing() -> None:
+def test_killed_target_processes_repeat_and_lose_nothing() -> None:
     """SIGKILL of target processes under load, and their replacement.
 
     Symptom: a booking made twice. Sequence: the target process of a desk is
@@ -36,17 +37,17 @@
     empty ledger taken for proof that the key never ran.
     """
     target = {"quarantine_ms": QUARANTINE_MS, "resume_ms": 500}
-    with fixtures.running_site(desks=2, target=target) as site:
-        crew = records.Crew(site)
-        crew.start(bookers=2, streamers=3)
-        _wait_more(crew, "stream", 4)
+    with fixtures.running_site(plain_targets=2, target=target) as site:
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=2, streaming_callers=3)
+        _wait_for_more(callers, "stream", 4)
         for name in ("desk-1", "engine-1"):
             site.kill(name)
             site.start(name)
             fixtures.wait_until(lambda n=name: site.ready(n), f"{name} is back")
-        _wait_more(crew, "stream", 4)
-        _wait_more(crew, "book", 4)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 4)
+        _wait_for_more(callers, "book", 4)
+        _stop_and_check(site, callers)
 
 
 def test_frozen_target_process_runs_nothing_late() -> None:
@@ -56,16 +57,16 @@
     is unknown and resubmitted it. Sequence: a target process is paused with
     submissions in its socket and goes on after their deadlines.
     """
-    with fixtures.running_site(desks=1) as site:
+    with fixtures.running_site(plain_targets=1) as site:
         url = site.url("entry-1", "/v1/services/booking/reserve")
-        first = site.book("entry-1", "warm", {})
+        first = site.reserve("entry-1", "warm", {})
         assert first.status == 200
         site.signal("desk-1", signal.SIGSTOP)
         headers = {"Idempotency-Key": "late", "X-Request-Timeout-Ms": "300"}
         answer = fixtures.call("POST", url, {}, headers=headers)
         assert (answer.status, answer.executed) == (504, "unknown"), answer
         site.signal("desk-1", signal.SIGCONT)
-        after = site.book("entry-2", "after", {})
+        after = site.reserve("entry-2", "after", {})
         assert after.status == 200
         executions = site.state("desk-1-behind")["executions"]
         assert executions == {"warm": 1, "after": 1}
@@ -74,14 +75,14 @@
 def test_frozen_engine_process_under_load() -> None:
     """An engine's target process is frozen and thawed under load."""
     with fixtures.running_site() as site:
-        crew = records.Crew(site)
-        crew.start(bookers=1, streamers=3)
-        _wait_more(crew, "stream", 4)
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=1, streaming_callers=3)
+        _wait_for_more(callers, "stream", 4)
         site.signal("engine-2", signal.SIGSTOP)
-        _wait_more(crew, "book", 4)
+        _wait_for_more(callers, "book", 4)
         site.signal("engine-2", signal.SIGCONT)
-        _wait_more(crew, "stream", 4)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 4)
+        _stop_and_check(site, callers)
 
 
 def test_engine_restarted_cold_in_mid_stream() -> None:
@@ -93,15 +94,15 @@
     were given for, an end of the connection taken for the end of the answer.
     """
     with fixtures.running_site() as site:
-        crew = records.Crew(site, tokens=30)
-        crew.start(bookers=0, streamers=4)
+        callers = records.CallerGroup(site, tokens=30)
+        callers.start(booking_callers=0, streaming_callers=4)
         for name in ("engine-1", "engine-2", "engine-1"):
-            _wait_more(crew, "stream", 3)
+            _wait_for_more(callers, "stream", 3)
             fixtures.call(
                 "POST", site.url(f"{name}-behind", "/standin/restart")
             )
-        _wait_more(crew, "stream", 4)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 4)
+        _stop_and_check(site, callers)
 
 
 def test_failed_loads_and_lost_answers_to_loads() -> None:
@@ -109,21 +110,21 @@
     with fixtures.running_site() as site:
         for name in ("engine-1", "engine-2"):
             site.faults(f"{name}-behind", lost_load_answers=3)
-        crew = records.Crew(site)
-        crew.start(bookers=0, streamers=3)
-        _wait_more(crew, "stream", 6)
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=0, streaming_callers=3)
+        _wait_for_more(callers, "stream", 6)
         for name in ("engine-1", "engine-2"):
             site.faults(f"{name}-behind", load_failure_rate=0.5)
-        _wait_more(crew, "stream", 3)
+        _wait_for_more(callers, "stream", 3)
         for name in ("engine-1", "engine-2"):
             site.faults(f"{name}-behind", load_failure_rate=0.0)
-        _wait_more(crew, "stream", 6)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 6)
+        _stop_and_check(site, callers)
 
 
-def test_engine_that_runs_another_adapter_is_found_out() -> None:
+def test_engine_that_runs_another_adapter_is_detected() -> None:
     """No answer of a wrong adapter reaches a caller."""
-    with fixtures.running_site(desks=0, engines=1) as site:
+    with fixtures.running_site(plain_targets=0, engines=1) as site:
         site.faults("engine-1-behind", wrong_adapter="adapter-9@1")
         for stream in (False, True):
             answer = site.complete("entry-1", "adapter-2", "x", stream=stream)
@@ -133,7 +134,7 @@
         assert site.complete("entry-1", "adapter-2", "x").status == 200
 
 
-def test_object_api_down_for_long() -> None:
+def test_long_outage_of_the_object_api() -> None:
     """An outage of the object API stops no request.
 
     A process that restarts in the outage is not ready, since it holds no
@@ -141,19 +142,19 @@
     refused or uncertain, never half in force.
     """
     with fixtures.running_site() as site:
-        crew = records.Crew(site)
-        crew.start(bookers=1, streamers=2)
-        _wait_more(crew, "stream", 2)
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=1, streaming_callers=2)
+        _wait_for_more(callers, "stream", 2)
         site.faults("platform", outage=True)
-        _wait_more(crew, "stream", 4)
-        _wait_more(crew, "book", 4)
-        refused = site.radishctl("customer", "set", "lab", "share", "3.0")
-        assert refused.returncode == 4, refused
+        _wait_for_more(callers, "stream", 4)
+        _wait_for_more(callers, "book", 4)
+        rejected = site.radishctl("customer", "set", "lab", "share", "3.0")
+        assert rejected.returncode == 4, rejected
         site.faults("platform", outage=False)
         accepted = site.radishctl("customer", "set", "lab", "share", "3.0")
         assert accepted.returncode == 0, accepted
         site.wait_in_force(2)
-        _settle(site, crew)
+        _stop_and_check(site, callers)
 
 
 def test_process_that_starts_in_an_outage_asks_its_peers() -> None:
@@ -193,22 +194,22 @@
     again, and its new home has never seen it. Cause without the mechanism:
     the new home does not ask the old one.
     """
-    with fixtures.running_site(desks=3) as site:
-        crew = records.Crew(site)
-        crew.start(bookers=3, streamers=0)
+    with fixtures.running_site(plain_targets=3) as site:
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=3, streaming_callers=0)
         for targets in ("[desk-1]", "[desk-2, desk-3]", "[desk-1, desk-2]"):
-            _wait_more(crew, "book", 6)
+            _wait_for_more(callers, "book", 6)
             moved = site.radishctl(
                 "service", "set", "booking", "targets", targets
             )
             assert moved.returncode == 0, moved
-        _wait_more(crew, "book", 6)
-        _settle(site, crew)
+        _wait_for_more(callers, "book", 6)
+        _stop_and_check(site, callers)
 
 
 def test_two_operators_at_the_same_moment() -> None:
     """Changes that commute are both accepted; of others one is refused."""
-    with fixtures.running_site(engines=1, entries=1, desks=0) as site:
+    with fixtures.running_site(engines=1, entries=1, plain_targets=0) as site:
         first = site.radishctl("customer", "set", "lab", "share", "5.0")
         second = site.radishctl(
             "customer", "set", "rental-house", "share", "6.0"
--- a/tests/daemon/test_path.py
+++ b/tests/daemon/test_path.py
@@ -40,9 +40,9 @@
 def test_keyed_call_runs_once_through_both_entries() -> None:
     """A key sent again through another entry gets the recorded answer."""
     with fixtures.running_site() as site:
-        first = site.book("entry-1", "crew-7", {"lens": 35})
-        again = site.book("entry-2", "crew-7", {"lens": 35})
-        other = site.book("entry-2", "crew-7", {"lens": 50})
+        first = site.reserve("entry-1", "crew-7", {"lens": 35})
+        again = site.reserve("entry-2", "crew-7", {"lens": 35})
+        other = site.reserve("entry-2", "crew-7", {"lens": 50})
         assert first.status == again.status == 200
         assert first.body == again.body
         assert (other.status, other.code, other.executed) == (422, 1007, "no")
--- a/tests/daemon/test_shutdown.py
+++ b/tests/daemon/test_shutdown.py
@@ -28,7 +28,9 @@
 
 
 def _check_drain(name: str) -> None:
-    with fixtures.running_site(engines=1, desks=0, step_ms=10.0) as site:
+    with fixtures.running_site(
+        engines=1, plain_targets=0, step_ms=10.0
+    ) as site:
         answers: list[fixtures.Answer] = []
         caller = _stream_in_background(site, "entry-1", answers)
         fixtures.wait_until(
@@ -50,11 +52,11 @@
     _check_drain("engine-1")
 
 
-def test_drain_limit_cuts_and_says_so() -> None:
+def test_drain_limit_aborts_and_logs() -> None:
     """What is still in flight at the limit is cut, logged and counted."""
     target = {"drain_ms": 100}
     with fixtures.running_site(
-        engines=1, desks=0, step_ms=30.0, target=target
+        engines=1, plain_targets=0, step_ms=30.0, target=target
     ) as site:
         answers: list[fixtures.Answer] = []
         caller = _stream_in_background(site, "entry-1", answers)
@@ -68,9 +70,11 @@
         assert not answers[0].whole or answers[0].status != 200
 
 
-def test_second_signal_ends_at_once() -> None:
+def test_second_signal_exits_at_once() -> None:
     """A second SIGTERM does not wait for the drain."""
-    with fixtures.running_site(engines=1, desks=0, step_ms=30.0) as site:
+    with fixtures.running_site(
+        engines=1, plain_targets=0, step_ms=30.0
+    ) as site:
         answers: list[fixtures.Answer] = []
         caller = _stream_in_background(site, "entry-1", answers)
         fixtures.wait_until(
@@ -84,7 +88,7 @@
         caller.join()
 
 
-def test_leaving_target_gets_no_new_work() -> None:
+def test_draining_target_gets_no_new_work() -> None:
     """The platform lists a target as leaving; it refuses, others take over.
 
     Symptom: work lost with a VM that everybody knew would go. Sequence: the
--- a/tests/fleet/fixtures.py
+++ b/tests/fleet/fixtures.py
@@ -93,7 +93,7 @@
         self.stopped = anyio.Event()
         self._hosts = itertools.count(10)
         self.store_host = f"{self.subnet}.1"
-        self.store_road = f"{self.subnet}.2"
+        self.second_store_host = f"{self.subnet}.2"
 
     def host(self) -> str:
         """Returns the address of a new VM."""
@@ -120,7 +120,7 @@
             self.sidecars[host] = await self.add_sidecar(host)
         return target
 
-    async def restart_ended(self) -> None:
+    async def restart_exited(self) -> None:
         """Starts what has ended again, under new names at the same places."""
         listed = self.store.objects["servers"]
         for name, target in list(self.targets.items()):
@@ -129,12 +129,12 @@
             address = listed[name]["spec"]["address"]
             del self.targets[name]
             self.store.delete("servers", name)
-            renewed = await self.add_target(
+            replacement = await self.add_target(
                 f"i-{secrets.token_hex(4)}",
                 engine=bool(target.model),
                 host=address.partition(":")[0],
             )
-            renewed.fault = target.fault
+            replacement.fault = target.fault
 
     async def add_sidecar(self, host: str) -> sidecar_lib.Sidecar:
         """Starts the process beside an engine."""
@@ -161,7 +161,7 @@
         )
         return sidecar
 
-    async def add_store_road(self) -> platform_store.Faults:
+    async def add_store_address(self) -> platform_store.Faults:
         """Opens a further address of the store, with faults of its own."""
         faults = platform_store.Faults()
 
@@ -174,7 +174,7 @@
         app = standins_web.make_app(handle)
         await self.tasks.start(
             functools.partial(
-                standins_web.serve, app, self.store_road, STORE_PORT
+                standins_web.serve, app, self.second_store_host, STORE_PORT
             )
         )
         return faults
@@ -263,13 +263,15 @@
         finally:
             connection.close()
 
-    async def until(self, holds: Callable[[], bool], what: str) -> None:
+    async def until(
+        self, condition: Callable[[], bool], description: str
+    ) -> None:
         """Waits for a condition; the limit only ends a test that hangs."""
         with anyio.move_on_after(LIMIT_S):
-            while not holds():
+            while not condition():
                 await anyio.sleep(POLL_S)
             return
-        raise TimeoutError(f"still not: {what}")
+        raise TimeoutError(f"still not: {description}")
 
 
 async def read_answer(connection: http_client.Connection) -> Answer:
--- a/tests/fleet/test_accounts.py
+++ b/tests/fleet/test_accounts.py
@@ -358,10 +358,11 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=1) as fleet:
             await _put(fleet, _configuration())
-            faults = await fleet.add_store_road()
+            faults = await fleet.add_store_address()
             faults.refuses = True
             late = await fleet.add_gateway(
-                seeds=(fleet.gateway.own.peers,), store_host=fleet.store_road
+                seeds=(fleet.gateway.own.peers,),
+                store_host=fleet.second_store_host,
             )
             await fleet.until(lambda: not late.ready(), "it is told by a peer")
             good = await fleet.call(
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -102,7 +102,7 @@
         await fleet.until(
             lambda: _breaks(gateway, ended=True) > before, "it is noticed"
         )
-        await fleet.restart_ended()
+        await fleet.restart_exited()
     return answer
 
 
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -12,10 +12,10 @@
 
 from tests.fleet import fixtures
 
-MANY = 300
+VERSION_COUNT = 300
 
 
-def _announce(fleet: fixtures.Fleet, adapter: str, version: int) -> None:
+def _publish_version(fleet: fixtures.Fleet, adapter: str, version: int) -> None:
     fleet.store.put(
         "versions",
         f"{fixtures.MODEL}.{adapter}",
@@ -36,10 +36,10 @@
         async with fixtures.running_fleet(engines=1, plain=0) as fleet:
             (engine,) = fleet.targets.values()
             await fleet.call("/chat/x", adapter="a1")
-            for number in range(MANY):
-                _announce(fleet, f"other{number}", 2)
+            for number in range(VERSION_COUNT):
+                _publish_version(fleet, f"other{number}", 2)
             engine.newest["a1"] = 2
-            _announce(fleet, "a1", 2)
+            _publish_version(fleet, "a1", 2)
             await fleet.until(
                 lambda: engine.adapters.get("a1") != 1,
                 "the old version gives way",
@@ -48,13 +48,15 @@
     fixtures.run(play)
 
 
-def test_what_a_word_leaves_out_is_counted() -> None:
+def test_omitted_entries_are_counted() -> None:
     """Entries that do not fit must not vanish without a trace."""
-    wants = tuple(
+    load_requests = tuple(
         adapter_keeper.LoadRequest(f"base/a{number}", 0)
         for number in range(fleet_wire.MAX_ENTRIES + 7)
     )
-    demand = adapter_keeper.Demand("g", "i", 9, ("base",), (), wants, {})
+    demand = adapter_keeper.Demand(
+        "g", "i", 9, ("base",), (), load_requests, {}
+    )
     datagram = fleet_wire.DemandDatagram(demand, "10.0.0.1:90")
     assert fleet_wire.left_out_count(datagram) == 7
     read = fleet_wire.decode(fleet_wire.encode(datagram))
@@ -69,7 +71,7 @@
     )
 
 
-def test_gateways_are_counted_before_all_are_named() -> None:
+def test_gateways_are_counted_before_all_are_listed() -> None:
     """Symptom: right after a start all gateways together retry too much.
 
     Sequence: a gateway hears a first word that names four of sixty-eight.
@@ -81,7 +83,7 @@
     assert peers.count == 68
 
 
-def test_a_count_of_gateways_that_have_gone_is_given_up() -> None:
+def test_an_outdated_count_of_gateways_expires() -> None:
     """A part of an allowance is not kept small for those that left."""
     peers = _peers()
     now_ms = clock.boot_ms()
@@ -92,7 +94,7 @@
     assert peers.count == 12
 
 
-def test_gateways_that_are_named_no_more_are_forgotten() -> None:
+def test_gateways_that_are_no_longer_listed_expire() -> None:
     """Symptom: in an outage a new gateway asks one peer after another in vain.
 
     Sequence: VMs are replaced day after day. Cause: names of gateways were
@@ -124,34 +126,34 @@
 
     ticks = 0
 
-    class Counted(web.Server):
+    class CountingServer(web.Server):
         async def on_tick(self, counter: int) -> bool:
             nonlocal ticks
             ticks += 1
             return await super().on_tick(counter)
 
     async def play() -> None:
-        every_s, web.DATE_REFRESH_S = web.DATE_REFRESH_S, 3_600.0
+        refresh_s, web.DATE_REFRESH_S = web.DATE_REFRESH_S, 3_600.0
         config = web.make_server(app, "127.0.0.1", 0).config
-        server = Counted(config)
+        server = CountingServer(config)
         try:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(web.serve, server)
                 (listener,) = server.servers
                 port = listener.sockets[0].getsockname()[1]
                 for _ in range(30):
-                    await _ask(f"127.0.0.1:{port}")
+                    await _send_request(f"127.0.0.1:{port}")
                     await anyio.sleep(0.01)
                 # The end is taken at once, though no tick is due.
                 server.should_exit = True
         finally:
-            web.DATE_REFRESH_S = every_s
+            web.DATE_REFRESH_S = refresh_s
         assert ticks == 2, ticks
 
     fixtures.run(play)
 
 
-async def _ask(address: str) -> None:
+async def _send_request(address: str) -> None:
     connection = await http_client.open_connection(address, 2_000)
     assert isinstance(connection, http_client.Connection), connection
     connection.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -160,7 +162,7 @@
     connection.close()
 
 
-def test_a_storm_of_configurations_costs_few_calls() -> None:
+def test_a_burst_of_configurations_causes_few_calls() -> None:
     """Symptom: every gateway calls the store for each change of a storm.
 
     Sequence: forty versions of the configuration, 10 ms apart. Cause: changes
--- a/tests/fleet/test_store_outage.py
+++ b/tests/fleet/test_store_outage.py
@@ -190,8 +190,8 @@
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
-            store_faults = await fleet.add_store_road()
-            second = await fleet.add_gateway(store_host=fleet.store_road)
+            store_faults = await fleet.add_store_address()
+            second = await fleet.add_gateway(store_host=fleet.second_store_host)
             await _has_read_all(fleet, second)
             store_faults.refuses = True
             await _wait_for_outage(fleet, second)
@@ -247,11 +247,12 @@
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
             specs = _specs(fleet)
-            store_faults = await fleet.add_store_road()
+            store_faults = await fleet.add_store_address()
             store_faults.refuses = True
             await _start_outage(fleet, fleet.gateway)
             second = await fleet.add_gateway(
-                seeds=(fleet.gateway.own.peers,), store_host=fleet.store_road
+                seeds=(fleet.gateway.own.peers,),
+                store_host=fleet.second_store_host,
             )
             await fleet.until(
                 lambda: _usable(second) == set(specs), "a peer has told them"
--- a/tests/fleet/test_store_restored.py
+++ b/tests/fleet/test_store_restored.py
@@ -200,8 +200,10 @@
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=0, plain=2) as fleet:
-            faults = await fleet.add_store_road()
-            cut_off = await fleet.add_gateway(store_host=fleet.store_road)
+            faults = await fleet.add_store_address()
+            cut_off = await fleet.add_gateway(
+                store_host=fleet.second_store_host
+            )
             await fleet.until(lambda: not cut_off.ready(), "it is up")
             snapshot = fleet.store.snapshot()
             _write_discarded(fleet)
