--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,6 +1,6 @@
 """Runs the whole suite: ``python -m tests [MODULE_PART ...]``.
 
-Tests are functions named ``test_*``; this loader hands them to ``unittest``.
+Tests are functions named ``test_*``; this loader passes them to ``unittest``.
 A test named in ``KNOWN-RED.txt`` is run and printed, and does not fail the
 run.
 """
@@ -27,7 +27,7 @@
 
 
 def load_tests(names: Iterator[str]) -> unittest.TestSuite:
-    """Wraps every test function for ``unittest``."""
+    """Collects the test functions of modules in a ``unittest`` suite."""
     suite = unittest.TestSuite()
     for name in names:
         module = importlib.import_module(name)
@@ -43,7 +43,7 @@
 
 
 def read_known_red() -> set[str]:
-    """Returns the tests whose faults are known and not yet mended."""
+    """Returns the names of tests that are known to fail."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -51,15 +51,15 @@
 
 
 class TimedResult(unittest.TextTestResult):
-    """Prints each test with the time it took, for a reader to look at."""
+    """Prints each test with its duration."""
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Notes the time."""
+        """Records the start time."""
         self._started_s = time.monotonic()
         super().startTest(test)
 
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Prints the time."""
+        """Prints the duration."""
         elapsed_s = time.monotonic() - self._started_s
         if self.showAll:
             self.stream.writeln(f"    {elapsed_s:.1f} s")
--- a/tests/daemon/fixtures.py
+++ b/tests/daemon/fixtures.py
@@ -1,4 +1,4 @@
-"""A small site of separate processes, each on a loopback address of its own."""
+"""A small site of separate processes, each on its own loopback address."""
 
 from collections.abc import Iterator
 import contextlib
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """One HTTP answer, or what became of the call instead."""
+    """An HTTP answer; status 0 if the call failed without one."""
 
     status: int
     headers: dict[str, str]
@@ -52,14 +52,14 @@
 
     @property
     def code(self) -> int:
-        """The numbered result code, 0 for a success."""
+        """The number of the result code, 0 for a success."""
         if self.status < 400:
             return 0
         return self.json()["error"]["code"]
 
     @property
     def executed(self) -> str:
-        """What the answer says about execution."""
+        """Whether the request was executed, as the answer states it."""
         if not self.whole:
             return "unknown"
         if self.status < 400:
@@ -78,7 +78,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 30.0,
 ) -> Answer:
-    """Makes one HTTP call on a connection of its own."""
+    """Makes one HTTP call on a new connection."""
     content = body if isinstance(body, bytes) else json.dumps(body).encode()
     timeouts = dict.fromkeys(("connect", "read", "write", "pool"), timeout_s)
     with httpcore.ConnectionPool() as pool:
@@ -106,7 +106,7 @@
 
 
 def wait_until(condition: Any, description: str) -> None:
-    """Waits for a condition; the limit only ends a run that hangs."""
+    """Waits for a condition; the timeout only guards against a hang."""
     deadline_s = time.monotonic() + READY_LIMIT_S
     while not condition():
         if time.monotonic() > deadline_s:
@@ -119,10 +119,12 @@
     """The processes of one site.
 
     Attributes:
-        folder: Where settings and logs are.
-        hosts: IP number by process name.
+        folder: Folder of settings and logs.
+        hosts: IP address by process name.
         processes: The running processes by name.
-        commands: How each is started.
+        commands: Command line by process name.
+        entries: Names of the entry daemons.
+        targets: Names of the targets.
     """
 
     folder: pathlib.Path
@@ -145,7 +147,7 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kills a process and waits for it to be gone."""
+        """Kills a process and waits for its exit."""
         self.processes[name].kill()
         self.processes[name].wait()
 
@@ -155,24 +157,24 @@
         return self.processes[name].wait()
 
     def url(self, name: str, path: str = "", *, port: int = PORT) -> str:
-        """Returns a URL on a process."""
+        """Returns a URL of a process."""
         return f"http://{self.hosts[name]}:{port}{path}"
 
     def ready(self, name: str) -> bool:
-        """Whether a process says that it is ready."""
+        """Whether a process reports that it is ready."""
         url = self.url(name, "/readyz", port=ADMIN_PORT)
         return call("GET", url, timeout_s=2.0).status == 200
 
     def status(self, name: str) -> dict[str, Any]:
-        """Returns a process's own status."""
+        """Returns the status that a process reports."""
         return call("GET", self.url(name, "/status", port=ADMIN_PORT)).json()
 
     def state(self, name: str) -> dict[str, Any]:
-        """Returns a stand-in's own record."""
+        """Returns the state that a stand-in has recorded."""
         return call("GET", self.url(name, "/standin/state")).json()
 
     def faults(self, name: str, **faults: Any) -> None:
-        """Turns faults of a stand-in on or off."""
+        """Switches faults of a stand-in on or off."""
         call("POST", self.url(name, "/standin/faults"), faults)
 
     def list_vms(self, *leaving: str) -> None:
@@ -199,7 +201,7 @@
     def complete(
         self, entry: str, model: str, prompt: str, **fields: Any
     ) -> Answer:
-        """Asks an entry daemon for a completion."""
+        """Requests a completion from an entry daemon."""
         headers = fields.pop("headers", {})
         body = {"model": model, "prompt": prompt, **fields}
         return call(
@@ -216,7 +218,7 @@
         )
 
     def wait_in_force(self, version: int, *names: str) -> None:
-        """Waits until a version is in force in processes."""
+        """Waits until processes have activated a configuration version."""
         for name in names or (*self.entries, *self.targets):
             wait_until(
                 lambda name=name: (
@@ -227,7 +229,7 @@
 
 
 def document(site: Site) -> dict[str, Any]:
-    """Returns the document of the site."""
+    """Returns the configuration document of the site."""
     engines = [name for name in site.targets if name.startswith("engine")]
     plain_names = [name for name in site.targets if name.startswith("desk")]
     booking = {
@@ -339,7 +341,7 @@
     engine_options: tuple[str, ...] = (),
     **overrides: Any,
 ) -> Iterator[Site]:
-    """Runs a site of separate processes with its document in force.
+    """Runs a site of separate processes with its configuration applied.
 
     Args:
         engines: Model engines, each with its target process.
@@ -351,7 +353,7 @@
         **overrides: Settings by role or process name.
 
     Yields:
-        The site, every process ready.
+        The site, once every process is ready.
     """
     targets = [f"engine-{i + 1}" for i in range(engines)]
     targets += [f"desk-{i + 1}" for i in range(plain_targets)]
@@ -411,7 +413,7 @@
 
 
 def text_of_stream(body: bytes) -> str:
-    """Returns the text of a stream of events, which must be whole."""
+    """Returns the text of an event stream, which must be complete."""
     events = body.decode().strip().split("\n\n")
     if events[-1] != "data: [DONE]":
         raise ValueError(f"not a whole stream: {events[-1]!r}")
--- a/tests/daemon/records.py
+++ b/tests/daemon/records.py
@@ -1,4 +1,4 @@
-"""Callers' own records, compared with what was executed."""
+"""Compares the answers that callers received with the executions."""
 
 import collections
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One request and its one outcome.
+    """A request and its outcome.
 
     Attributes:
         kind: ``book`` or ``stream``.
-        name: Its key, or its request id.
-        model: ``adapter@version``, empty for a booking.
-        answer: What came back.
+        name: Idempotency key or request id.
+        model: ``adapter@version``, empty for kind ``book``.
+        answer: The answer that the caller received.
     """
 
     kind: str
@@ -29,10 +29,10 @@
 
 
 class CallerGroup:
-    """Callers that go on asking while faults happen."""
+    """Callers that send requests continuously while faults are injected."""
 
     def __init__(self, site: fixtures.Site, *, tokens: int = 12) -> None:
-        """Prepares callers; none asks yet."""
+        """Creates a group without running callers."""
         self.site = site
         self.tokens = tokens
         self.records: list[Record] = []
@@ -57,7 +57,12 @@
             self.records.append(record)
 
     def count(self, kind: str, *, whole: bool = False) -> int:
-        """Returns how many requests of a kind have their outcome."""
+        """Returns how many requests of a kind have finished.
+
+        Args:
+            kind: Kind of the records.
+            whole: Whether to count only answers with status 200.
+        """
         with self._lock:
             return sum(
                 one.kind == kind and (not whole or one.answer.status == 200)
@@ -70,8 +75,8 @@
             if self._stop.is_set():
                 return
             key = f"crew-{number}-{index}"
-            # Each key is sent twice, through both entries, whatever came of
-            # the first.
+            # Each key is sent twice, through two entry daemons in turn,
+            # whatever the first answer is.
             for entry in (next(entries), next(entries)):
                 answer = self.site.reserve(entry, key, {"n": index})
                 self._add_record(Record("book", key, "", answer))
@@ -94,16 +99,16 @@
             self._add_record(Record("stream", name, f"{adapter}@1", answer))
 
     def finish(self) -> None:
-        """Lets every caller end the request it has and stop."""
+        """Stops every caller after its current request."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
 
     def check(self, plain_targets: list[dict], engines: list[dict]) -> None:
-        """Compares the records with what was executed.
+        """Compares the records with the executions.
 
         Args:
-            plain_targets: States of the plain services.
+            plain_targets: States of the plain targets.
             engines: States of the engines.
         """
         executions_by_key: collections.Counter[str] = collections.Counter()
--- a/tests/daemon/relay.py
+++ b/tests/daemon/relay.py
@@ -1,4 +1,4 @@
-"""A relay between processes whose connections a test can cut."""
+"""A TCP relay between processes whose connections a test can abort."""
 
 from collections.abc import Iterator
 import contextlib
@@ -9,12 +9,12 @@
 
 
 class TcpRelay:
-    """Relays TCP connections until they are cut."""
+    """Relays TCP connections until they are aborted."""
 
     def __init__(
         self, listener: socket.socket, destination: tuple[str, int]
     ) -> None:
-        """Starts to accept."""
+        """Starts to accept connections."""
         self._listener = listener
         self._destination = destination
         self._sockets: list[socket.socket] = []
@@ -46,7 +46,7 @@
                 endpoint.shutdown(socket.SHUT_RDWR)
 
     def abort_connections(self) -> int:
-        """Cuts every connection and returns how many there were."""
+        """Aborts every connection and returns how many there were."""
         with self._lock:
             sockets, self._sockets = self._sockets, []
         for endpoint in sockets:
@@ -60,11 +60,11 @@
 def open_relay(
     address: tuple[str, int], destination: tuple[str, int]
 ) -> Iterator[TcpRelay]:
-    """Relays from an address to another one.
+    """Relays connections from one address to another.
 
     Args:
-        address: Where to listen.
-        destination: Where to connect.
+        address: Address to listen on.
+        destination: Address to connect to.
 
     Yields:
         The relay.
--- a/tests/daemon/test_bad_input.py
+++ b/tests/daemon/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a numbered code and a status, and nothing runs."""
+"""Invalid input is answered with a result code and is never executed."""
 
 import itertools
 import socket
@@ -59,7 +59,7 @@
 
 
 def test_bad_input_is_rejected_and_nothing_runs() -> None:
-    """Every kind of bad input of the callers' interface."""
+    """Covers each kind of invalid input of the callers' interface."""
     overrides = {"entry": {"max_body_bytes": 2048}}
     with fixtures.running_site(entries=1, engines=1, **overrides) as site:
         _check_each(site)
@@ -68,11 +68,10 @@
 
 
 def test_caller_disconnect_in_mid_stream_cancels_the_work() -> None:
-    """The engine stops generating for a caller that has left.
+    """Guards against engines that generate answers nobody reads.
 
-    Symptom: engines busy with answers that nobody reads. Sequence: a caller
-    reads the first events of a long stream and closes its connection. Cause
-    without the mechanism: nobody tells the target process, which reads on.
+    A caller reads the first events of a long stream and closes its connection.
+    Unless the cancellation is forwarded, the target process reads on.
     """
     with fixtures.running_site(entries=1, engines=1, plain_targets=0) as site:
         body = (
@@ -101,7 +100,7 @@
 
 
 def test_admin_paths_are_not_on_the_callers_port() -> None:
-    """Health, metrics and status answer on the admin port alone."""
+    """Health, metrics and status are served on the admin port only."""
     with fixtures.running_site(entries=1, engines=1, plain_targets=0) as site:
         paths = ("/status", "/metrics", "/healthz", "/readyz", "/objects/x")
         for path, port in itertools.product(paths, (fixtures.PORT,)):
--- a/tests/daemon/test_cuts.py
+++ b/tests/daemon/test_cuts.py
@@ -1,4 +1,4 @@
-"""Connections between our processes that are cut, on real sockets."""
+"""Aborted connections between processes, on real sockets."""
 
 import socket
 import threading
@@ -12,12 +12,11 @@
 
 
 def test_aborted_connections_resume_the_same_run() -> None:
-    """A stream cut twice in the middle comes back whole from one run.
+    """Guards against a truncated answer and one that is generated twice.
 
-    Symptom: a short answer, or one generated twice. Sequence: the connection
-    between entry and target is cut while chunks are on their way, and again.
-    Cause without the mechanism: the run dies with its connection, or the
-    entry submits it anew.
+    The connection between entry daemon and target is aborted twice while
+    chunks are in transit. Unless the run is resumed, it is lost with its
+    connection, or the entry daemon submits it again.
     """
     with fixtures.running_site(
         engines=1, plain_targets=0, entries=1, step_ms=15.0
@@ -69,7 +68,7 @@
 
 
 def test_garbage_on_a_connection_closes_only_that_connection() -> None:
-    """Bytes that are no frame cost their sender its connection, no more."""
+    """Bytes that are not a frame close only their sender's connection."""
     with fixtures.running_site(engines=1, plain_targets=0, entries=1) as site:
         address = (site.hosts["engine-1"], fixtures.PORT)
         for garbage in (b"\xff" * 64, b"\x08\0\0\0garbage!", b"GET / HTTP/1"):
--- a/tests/daemon/test_faults.py
+++ b/tests/daemon/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults on real processes; callers' records against execution counts."""
+"""Faults of real processes; checks callers' records against executions."""
 
 import signal
 
@@ -9,7 +9,7 @@
 
 
 def _stop_and_check(site: fixtures.Site, callers: records.CallerGroup) -> None:
-    """Ends the callers and compares their records with the executions."""
+    """Stops the callers and compares their records with the executions."""
     callers.finish()
     plain_targets = [name for name in site.targets if name.startswith("desk")]
     engines = [name for name in site.targets if name.startswith("engine")]
@@ -20,7 +20,7 @@
 
 
 def _wait_for_more(callers: records.CallerGroup, kind: str, more: int) -> None:
-    """Waits until callers have got some more whole answers."""
+    """Waits until callers have received more successful answers."""
     expected = callers.count(kind, whole=True) + more
     fixtures.wait_until(
         lambda: callers.count(kind, whole=True) >= expected,
@@ -29,12 +29,11 @@
 
 
 def test_killed_target_processes_repeat_and_lose_nothing() -> None:
-    """SIGKILL of target processes under load, and their replacement.
+    """Guards against a booking that is executed twice after a SIGKILL.
 
-    Symptom: a booking made twice. Sequence: the target process of a desk is
-    killed after it passed a booking on; the caller sends the key again to
-    its replacement, whose ledger is empty. Cause without the mechanism: an
-    empty ledger taken for proof that the key never ran.
+    The target process of a plain service is killed under load after it
+    forwarded a booking. The caller sends the key again to its replacement,
+    whose empty ledger must not count as proof that the key never ran.
     """
     target = {"quarantine_ms": QUARANTINE_MS, "resume_ms": 500}
     with fixtures.running_site(plain_targets=2, target=target) as site:
@@ -51,11 +50,11 @@
 
 
 def test_frozen_target_process_runs_nothing_late() -> None:
-    """SIGSTOP past the callers' deadlines, then SIGCONT.
+    """Guards against calls that are executed after their deadline.
 
-    Symptom: a call executed long after its caller was told that the outcome
-    is unknown and resubmitted it. Sequence: a target process is paused with
-    submissions in its socket and goes on after their deadlines.
+    A target process is paused (SIGSTOP) with submissions in its socket and
+    continues (SIGCONT) after their deadlines. By then the caller has received
+    an unknown outcome and resubmitted the call.
     """
     with fixtures.running_site(plain_targets=1) as site:
         url = site.url("entry-1", "/v1/services/booking/reserve")
@@ -73,7 +72,7 @@
 
 
 def test_frozen_engine_process_under_load() -> None:
-    """An engine's target process is frozen and thawed under load."""
+    """An engine's target process is paused and continued under load."""
     with fixtures.running_site() as site:
         callers = records.CallerGroup(site)
         callers.start(booking_callers=1, streaming_callers=3)
@@ -86,12 +85,11 @@
 
 
 def test_engine_restarted_cold_in_mid_stream() -> None:
-    """Engines restart with nothing loaded while they stream.
+    """Guards against truncated answers and answers of another adapter.
 
-    Symptom: a short answer taken for a whole one, or an answer of another
-    adapter. Sequence: the engine dies in mid-stream and comes back empty.
-    Cause without the mechanism: grants that outlive the incarnation they
-    were given for, an end of the connection taken for the end of the answer.
+    Engines crash in mid-stream and restart with no adapter loaded. The failure
+    occurs if grants outlive the incarnation they were issued for, or if the end
+    of the connection counts as the end of the answer.
     """
     with fixtures.running_site() as site:
         callers = records.CallerGroup(site, tokens=30)
@@ -106,7 +104,7 @@
 
 
 def test_failed_loads_and_lost_answers_to_loads() -> None:
-    """Loads fail, and answers to loads that took effect are lost."""
+    """Loads fail, and answers to successful loads are lost."""
     with fixtures.running_site() as site:
         for name in ("engine-1", "engine-2"):
             site.faults(f"{name}-behind", lost_load_answers=3)
@@ -123,7 +121,7 @@
 
 
 def test_engine_that_runs_another_adapter_is_detected() -> None:
-    """No answer of a wrong adapter reaches a caller."""
+    """Guards against returning the answer of a wrong adapter."""
     with fixtures.running_site(plain_targets=0, engines=1) as site:
         site.faults("engine-1-behind", wrong_adapter="adapter-9@1")
         for stream in (False, True):
@@ -135,11 +133,11 @@
 
 
 def test_long_outage_of_the_object_api() -> None:
-    """An outage of the object API stops no request.
+    """Guards against an outage of the object API that stops requests.
 
-    A process that restarts in the outage is not ready, since it holds no
-    version; the others go on with theirs, and an operator's change is
-    refused or uncertain, never half in force.
+    A process that restarts during the outage is not ready, since it has no
+    configuration version. The others keep theirs. An operator's change is
+    rejected or its outcome is unknown, but it is never partially applied.
     """
     with fixtures.running_site() as site:
         callers = records.CallerGroup(site)
@@ -158,11 +156,10 @@
 
 
 def test_process_that_starts_in_an_outage_asks_its_peers() -> None:
-    """A replaced VM serves the version in force although the store is down.
+    """Guards against VMs that stay unready when replaced in a store outage.
 
-    Symptom: every VM replaced during an outage of the object API stays
-    unready, or comes back with an old version. Sequence: the store goes
-    down, an entry is replaced. Without the mechanism it has nobody to ask.
+    The object API fails and an entry daemon is replaced. Unless it reads the
+    current version from its peers, it stays unready or serves an old one.
     """
     with fixtures.running_site(engines=1, entries=1) as site:
         changed = site.radishctl("customer", "set", "lab", "share", "2.5")
@@ -177,7 +174,7 @@
 
 
 def test_answer_to_a_commit_is_lost() -> None:
-    """A change whose answer was lost is found again, not applied twice."""
+    """Guards against applying a change twice when its answer is lost."""
     with fixtures.running_site(engines=1, entries=1) as site:
         site.faults("platform", lost_write_answers=2)
         changed = site.radishctl("customer", "set", "lab", "share", "4.0")
@@ -187,12 +184,11 @@
 
 
 def test_service_moves_while_its_keys_are_sent() -> None:
-    """A key runs once although its service moves to other targets.
+    """Guards against a booking that is executed twice after a service moves.
 
-    Symptom: a doubled booking after an operator moved the service. Sequence:
-    the key runs on its old home; the service moves; the caller sends the key
-    again, and its new home has never seen it. Cause without the mechanism:
-    the new home does not ask the old one.
+    A key runs on its old home, an operator moves the service to other targets,
+    and the caller sends the key again. The new home has no record of the key
+    and must ask the old one.
     """
     with fixtures.running_site(plain_targets=3) as site:
         callers = records.CallerGroup(site)
@@ -208,7 +204,7 @@
 
 
 def test_two_operators_at_the_same_moment() -> None:
-    """Changes that commute are both accepted; of others one is refused."""
+    """Commuting changes are both accepted; a conflicting one is rejected."""
     with fixtures.running_site(engines=1, entries=1, plain_targets=0) as site:
         first = site.radishctl("customer", "set", "lab", "share", "5.0")
         second = site.radishctl(
--- a/tests/daemon/test_path.py
+++ b/tests/daemon/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, on real sockets."""
+"""The complete request path as separate processes, on real sockets."""
 
 from standins import answer
 
@@ -10,7 +10,7 @@
 
 
 def test_cold_adapter_is_answered_whole_streamed_and_plain() -> None:
-    """A caller's request reaches the right adapter and comes back whole."""
+    """Answers come from the requested adapter and are complete."""
     with fixtures.running_site() as site:
         plain = site.complete("entry-1", "adapter-3", "hello", max_tokens=9)
         assert plain.status == 200, plain
@@ -50,7 +50,7 @@
 
 
 def test_new_version_is_in_force_for_new_requests() -> None:
-    """A new adapter version serves new requests once it is accepted."""
+    """New requests use a new adapter version once it is accepted."""
     with fixtures.running_site() as site:
         site.complete("entry-1", "adapter-1", "x")
         added = site.radishctl(
--- a/tests/daemon/test_shutdown.py
+++ b/tests/daemon/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Leaving and graceful shutdown on real processes."""
+"""Draining and graceful shutdown of real processes."""
 
 import threading
 
@@ -43,17 +43,17 @@
 
 
 def test_entry_drains_with_a_stream_in_flight() -> None:
-    """SIGTERM at an entry cuts no answer that has begun."""
+    """SIGTERM to an entry daemon truncates no started answer."""
     _check_drain("entry-1")
 
 
 def test_target_drains_with_a_stream_in_flight() -> None:
-    """SIGTERM at a target process cuts no run in flight."""
+    """SIGTERM to a target process aborts no run in flight."""
     _check_drain("engine-1")
 
 
 def test_drain_limit_aborts_and_logs() -> None:
-    """What is still in flight at the limit is cut, logged and counted."""
+    """Runs in flight at the drain limit are aborted, logged and counted."""
     target = {"drain_ms": 100}
     with fixtures.running_site(
         engines=1, plain_targets=0, step_ms=30.0, target=target
@@ -71,7 +71,7 @@
 
 
 def test_second_signal_exits_at_once() -> None:
-    """A second SIGTERM does not wait for the drain."""
+    """A second SIGTERM exits without waiting for the drain."""
     with fixtures.running_site(
         engines=1, plain_targets=0, step_ms=30.0
     ) as site:
@@ -89,11 +89,11 @@
 
 
 def test_draining_target_gets_no_new_work() -> None:
-    """The platform lists a target as leaving; it refuses, others take over.
+    """Guards against work that is lost with a VM announced as leaving.
 
-    Symptom: work lost with a VM that everybody knew would go. Sequence: the
-    list says leaving, entries learn it before, after or never; the target
-    process refuses on its own word.
+    The platform lists a target as leaving. Entry daemons may observe this
+    before the target, after it or never, so the target process itself rejects
+    new work and other targets run it.
     """
     with fixtures.running_site() as site:
         for index in range(4):
--- a/tests/fleet/fixtures.py
+++ b/tests/fleet/fixtures.py
@@ -1,7 +1,7 @@
 """A small fleet on loopback: store, targets, sidecars and one gateway.
 
-Each VM has a loopback address of its own, so that ports are the same on all,
-as on the platform.
+Each VM has its own loopback address, so all use the same ports, as on the
+platform.
 """
 
 from collections.abc import AsyncIterator
@@ -46,13 +46,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller got.
+    """An answer that a caller received.
 
     Attributes:
         status: HTTP status, 0 without an answer.
         headers: Headers by lower-case name.
-        body: The body as far as it came.
-        whole: Whether the answer ended as a whole one does.
+        body: The part of the body that was received.
+        whole: Whether the answer was complete.
     """
 
     status: int
@@ -62,7 +62,7 @@
 
 
 configuration = platform_site.configuration
-# Ends of a send that count against its target.
+# Outcomes of an attempt that count as failures of its target.
 BAD_OUTCOMES = (
     forwarding.Outcome.UNSENT,
     forwarding.Outcome.GONE,
@@ -72,15 +72,15 @@
 
 
 def seeded(seed: int = 1) -> random.Random:
-    """Returns a random source that is the same each time."""
+    """Returns a random source with a fixed seed."""
     return random.Random(seed)
 
 
 class Fleet:
-    """A running fleet."""
+    """A store, targets, sidecars and gateways that run in one event loop."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts with no VM."""
+        """Creates a fleet without VMs."""
         self.tasks = tasks
         self.subnet = (
             f"127.{40 + next(_subnets) % 200}.{secrets.randbelow(250)}"
@@ -102,7 +102,7 @@
     async def add_target(
         self, instance: str, *, engine: bool, host: str = "", **options: Any
     ) -> platform_engine.PlatformEngine:
-        """Starts a target, registers it, and a sidecar beside an engine."""
+        """Starts and registers a target, and a sidecar beside an engine."""
         new_vm = not host
         host = host or self.host()
         target = platform_engine.PlatformEngine(
@@ -121,7 +121,7 @@
         return target
 
     async def restart_exited(self) -> None:
-        """Starts what has ended again, under new names at the same places."""
+        """Restarts exited targets with new names at the same addresses."""
         listed = self.store.objects["servers"]
         for name, target in list(self.targets.items()):
             if not target.ended:
@@ -137,7 +137,7 @@
             replacement.fault = target.fault
 
     async def add_sidecar(self, host: str) -> sidecar_lib.Sidecar:
-        """Starts the process beside an engine."""
+        """Starts the sidecar of an engine."""
         raw = {
             "role": "sidecar",
             "name": f"side-{host.rpartition('.')[2]}",
@@ -162,7 +162,7 @@
         return sidecar
 
     async def add_store_address(self) -> platform_store.Faults:
-        """Opens a further address of the store, with faults of its own."""
+        """Opens a second address of the store, with separate faults."""
         faults = platform_store.Faults()
 
         async def handle(request: standins_web.Request) -> None:
@@ -185,7 +185,7 @@
         store_host: str = "",
         **options: Any,
     ) -> gateway_lib.Gateway:
-        """Starts a gateway, with further settings of its role."""
+        """Starts a gateway with additional settings."""
         host = self.host()
         raw = {
             "role": "gateway",
@@ -239,7 +239,7 @@
         gateway: gateway_lib.Gateway | None = None,
         **headers: str,
     ) -> Answer:
-        """Makes one call on a connection of its own."""
+        """Makes one call on a new connection."""
         gateway = gateway or self.gateway
         connection = await http_client.open_connection(
             gateway.own.listen, 2_000
@@ -266,7 +266,7 @@
     async def until(
         self, condition: Callable[[], bool], description: str
     ) -> None:
-        """Waits for a condition; the limit only ends a test that hangs."""
+        """Waits for a condition; the timeout only guards against a hang."""
         with anyio.move_on_after(LIMIT_S):
             while not condition():
                 await anyio.sleep(POLL_S)
@@ -275,7 +275,7 @@
 
 
 async def read_answer(connection: http_client.Connection) -> Answer:
-    """Reads an answer as far as it comes."""
+    """Reads an answer until its end or the loss of the connection."""
     head = await connection.head()
     if isinstance(head, http_client.Lost):
         return Answer(0, {}, b"", whole=False)
@@ -328,7 +328,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Runs an asynchronous test under a limit that only ends hangs."""
+    """Runs an asynchronous test; the timeout only guards against a hang."""
 
     async def limited() -> None:
         with anyio.fail_after(2 * LIMIT_S):
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -1,4 +1,4 @@
-"""What gateways and processes beside engines tell each other."""
+"""Messages between gateways and sidecars, and their cost."""
 
 import random
 
@@ -24,12 +24,12 @@
 
 
 def test_an_engine_learns_of_a_version_after_hundreds_of_others() -> None:
-    """Symptom: the first caller after a new version waits for its load.
+    """Guards against a first caller that waits for the load of a new version.
 
-    Sequence: three hundred versions are announced, then one of an adapter
-    that an engine holds and nobody asks for now. Cause: every word to a
-    process beside an engine repeated the oldest 256, cut without a line in
-    the log, so it never heard of a later one and kept the old version.
+    300 versions are announced, then one of an adapter that is loaded on an
+    engine without current requests. If each message to a sidecar repeats the
+    oldest 256 versions and drops the rest without a log line, the sidecar never
+    receives a later one and keeps the old version.
     """
 
     async def play() -> None:
@@ -49,7 +49,7 @@
 
 
 def test_omitted_entries_are_counted() -> None:
-    """Entries that do not fit must not vanish without a trace."""
+    """Guards against silently dropping entries that do not fit."""
     load_requests = tuple(
         adapter_keeper.LoadRequest(f"base/a{number}", 0)
         for number in range(fleet_wire.MAX_ENTRIES + 7)
@@ -72,10 +72,10 @@
 
 
 def test_gateways_are_counted_before_all_are_listed() -> None:
-    """Symptom: right after a start all gateways together retry too much.
+    """Guards against gateways that together retry too much after a start.
 
-    Sequence: a gateway hears a first word that names four of sixty-eight.
-    Cause: it took its part of the retry allowance as one of five.
+    The first message that a gateway receives lists 4 of 68 gateways. If it
+    counts only those, it uses a fifth of the retry allowance.
     """
     peers = _peers()
     peers.heard(("10.0.0.3:90", "10.0.0.4:90"))
@@ -84,7 +84,7 @@
 
 
 def test_an_outdated_count_of_gateways_expires() -> None:
-    """A part of an allowance is not kept small for those that left."""
+    """Guards against a share of an allowance reduced for former gateways."""
     peers = _peers()
     now_ms = clock.boot_ms()
     peers.counted(68, now_ms)
@@ -95,10 +95,11 @@
 
 
 def test_gateways_that_are_no_longer_listed_expire() -> None:
-    """Symptom: in an outage a new gateway asks one peer after another in vain.
+    """Guards against requests to many former peers during an outage.
 
-    Sequence: VMs are replaced day after day. Cause: names of gateways were
-    kept for good, so most of them were of former ones.
+    VMs are replaced every day. If names of gateways never expire, most of them
+    belong to former ones, and a new gateway asks one after another without
+    an answer.
     """
     peers = _peers()
     peers.heard(("10.0.0.1:90", "10.0.0.3:90"))
@@ -107,15 +108,16 @@
     peers.forget(now_ms)
     assert "10.0.0.3:90" in peers.addresses
     peers.forget(now_ms + peers_lib.FORGET_MS + 1)
-    # No word came at all: the fault is here, and all names are kept.
+    # All names are kept if no message arrives at all, since the fault is then
+    # local.
     assert "10.0.0.3:90" in peers.addresses
 
 
 def test_a_server_does_not_wake_an_idle_process() -> None:
-    """Symptom: an idle gateway wakes forty times a second for its servers.
+    """Guards against an idle gateway that wakes 40 times a second.
 
-    Sequence: nothing is asked of four servers. Cause: each looked ten times
-    a second whether it was to end.
+    Its four servers receive no requests. The failure occurs if each polls its
+    exit flag ten times a second.
     """
 
     async def app(
@@ -144,7 +146,7 @@
                 for _ in range(30):
                     await _send_request(f"127.0.0.1:{port}")
                     await anyio.sleep(0.01)
-                # The end is taken at once, though no tick is due.
+                # The server exits at once, though no tick is due.
                 server.should_exit = True
         finally:
             web.DATE_REFRESH_S = refresh_s
@@ -163,10 +165,11 @@
 
 
 def test_a_burst_of_configurations_causes_few_calls() -> None:
-    """Symptom: every gateway calls the store for each change of a storm.
+    """Guards against a store call per gateway for each change of a burst.
 
-    Sequence: forty versions of the configuration, 10 ms apart. Cause: changes
-    were gathered for 120 ms whatever time there is to bring them into force.
+    40 configuration versions are published 10 ms apart. The failure occurs if
+    changes are coalesced for 120 ms, however much time is left to activate
+    them.
     """
 
     async def play() -> None:
@@ -186,7 +189,7 @@
                 for labels, count in samples
                 if labels.get("kind") == "config"
             )
-            # Its list, the first change, and all that gathered after it.
+            # The initial list, the first change, and the coalesced later ones.
             assert calls <= 3, calls
 
     fixtures.run(play)
