--- a/tests/daemon/fixtures.py
+++ b/tests/daemon/fixtures.py
@@ -1,4 +1,4 @@
-"""A small site of separate processes, each on a loopback address of its own."""
+"""A small site of separate processes, each on its own loopback address."""
 
 from collections.abc import Iterator
 import contextlib
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """One HTTP answer, or what became of the call instead."""
+    """An HTTP answer; status 0 if the call failed without one."""
 
     status: int
     headers: dict[str, str]
@@ -52,14 +52,14 @@
 
     @property
     def code(self) -> int:
-        """The numbered result code, 0 for a success."""
+        """The number of the result code, 0 for a success."""
         if self.status < 400:
             return 0
         return self.json()["error"]["code"]
 
     @property
     def executed(self) -> str:
-        """What the answer says about execution."""
+        """Whether the request was executed, as the answer states it."""
         if not self.whole:
             return "unknown"
         if self.status < 400:
@@ -67,7 +67,7 @@
         return self.json()["error"]["executed"]
 
 
-CUT = Answer(0, {}, b"", whole=False)
+NO_ANSWER = Answer(0, {}, b"", whole=False)
 
 
 def call(
@@ -78,7 +78,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 30.0,
 ) -> Answer:
-    """Makes one HTTP call on a connection of its own."""
+    """Makes one HTTP call on a new connection."""
     content = body if isinstance(body, bytes) else json.dumps(body).encode()
     timeouts = dict.fromkeys(("connect", "read", "write", "pool"), timeout_s)
     with httpcore.ConnectionPool() as pool:
@@ -102,15 +102,15 @@
                     )
                 return Answer(response.status, fields, b"".join(parts))
         except NETWORK_ERRORS:
-            return CUT
+            return NO_ANSWER
 
 
-def wait_until(holds: Any, what: str) -> None:
-    """Waits for a condition; the limit only ends a run that hangs."""
-    give_up_s = time.monotonic() + READY_LIMIT_S
-    while not holds():
-        if time.monotonic() > give_up_s:
-            raise TimeoutError(f"still not: {what}")
+def wait_until(condition: Any, description: str) -> None:
+    """Waits for a condition; the timeout only guards against a hang."""
+    deadline_s = time.monotonic() + READY_LIMIT_S
+    while not condition():
+        if time.monotonic() > deadline_s:
+            raise TimeoutError(f"still not: {description}")
         time.sleep(POLL_S)
 
 
@@ -119,10 +119,12 @@
     """The processes of one site.
 
     Attributes:
-        folder: Where settings and logs are.
-        hosts: IP number by process name.
+        folder: Folder of settings and logs.
+        hosts: IP address by process name.
         processes: The running processes by name.
-        commands: How each is started.
+        commands: Command line by process name.
+        entries: Names of the entry daemons.
+        targets: Names of the targets.
     """
 
     folder: pathlib.Path
@@ -145,7 +147,7 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kills a process and waits for it to be gone."""
+        """Kills a process and waits for its exit."""
         self.processes[name].kill()
         self.processes[name].wait()
 
@@ -155,24 +157,24 @@
         return self.processes[name].wait()
 
     def url(self, name: str, path: str = "", *, port: int = PORT) -> str:
-        """Returns a URL on a process."""
+        """Returns a URL of a process."""
         return f"http://{self.hosts[name]}:{port}{path}"
 
     def ready(self, name: str) -> bool:
-        """Whether a process says that it is ready."""
+        """Whether a process reports that it is ready."""
         url = self.url(name, "/readyz", port=ADMIN_PORT)
         return call("GET", url, timeout_s=2.0).status == 200
 
     def status(self, name: str) -> dict[str, Any]:
-        """Returns a process's own status."""
+        """Returns the status that a process reports."""
         return call("GET", self.url(name, "/status", port=ADMIN_PORT)).json()
 
     def state(self, name: str) -> dict[str, Any]:
-        """Returns a stand-in's own record."""
+        """Returns the state that a stand-in has recorded."""
         return call("GET", self.url(name, "/standin/state")).json()
 
     def faults(self, name: str, **faults: Any) -> None:
-        """Turns faults of a stand-in on or off."""
+        """Switches faults of a stand-in on or off."""
         call("POST", self.url(name, "/standin/faults"), faults)
 
     def list_vms(self, *leaving: str) -> None:
@@ -188,10 +190,10 @@
         ]
         call("POST", self.url("platform", "/standin/vms"), {"vms": vms})
 
-    def radishctl(self, *words: str) -> subprocess.CompletedProcess[str]:
+    def radishctl(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """Runs the operators' command line."""
         command = [sys.executable, "-m", "radishctl.cli"]
-        command += ["--platform", self.url("platform"), *words]
+        command += ["--platform", self.url("platform"), *arguments]
         return subprocess.run(
             command, capture_output=True, text=True, check=False
         )
@@ -199,14 +201,14 @@
     def complete(
         self, entry: str, model: str, prompt: str, **fields: Any
     ) -> Answer:
-        """Asks an entry daemon for a completion."""
+        """Requests a completion from an entry daemon."""
         headers = fields.pop("headers", {})
         body = {"model": model, "prompt": prompt, **fields}
         return call(
             "POST", self.url(entry, "/v1/completions"), body, headers=headers
         )
 
-    def book(self, entry: str, key: str, body: Any) -> Answer:
+    def reserve(self, entry: str, key: str, body: Any) -> Answer:
         """Calls the non-idempotent plain service."""
         return call(
             "POST",
@@ -216,7 +218,7 @@
         )
 
     def wait_in_force(self, version: int, *names: str) -> None:
-        """Waits until a version is in force in processes."""
+        """Waits until processes have activated a configuration version."""
         for name in names or (*self.entries, *self.targets):
             wait_until(
                 lambda name=name: (
@@ -227,15 +229,15 @@
 
 
 def document(site: Site) -> dict[str, Any]:
-    """Returns the document of the site."""
+    """Returns the configuration document of the site."""
     engines = [name for name in site.targets if name.startswith("engine")]
-    plains = [name for name in site.targets if name.startswith("desk")]
+    plain_names = [name for name in site.targets if name.startswith("desk")]
     booking = {
         "name": "booking",
         "customer": "lab",
         "kind": "plain",
         "idempotent": False,
-        "targets": plains,
+        "targets": plain_names,
     }
     return {
         "customers": [{"name": "rental-house"}, {"name": "lab", "share": 2.0}],
@@ -256,7 +258,7 @@
                 "targets": engines,
                 "adapter": ADAPTERS[0],
             },
-            *([booking] if plains else []),
+            *([booking] if plain_names else []),
         ],
         "adapters": [
             {
@@ -271,7 +273,7 @@
     }
 
 
-def _settings(site: Site, name: str, overrides: dict[str, Any]) -> None:
+def _write_settings(site: Site, name: str, overrides: dict[str, Any]) -> None:
     host = site.hosts[name]
     settings: dict[str, Any] = {
         "name": name,
@@ -315,7 +317,7 @@
     ]
 
 
-def _standin(site: Site, name: str, module: str, *words: str) -> None:
+def _add_standin(site: Site, name: str, module: str, *arguments: str) -> None:
     site.commands[name] = [
         sys.executable,
         "-m",
@@ -324,7 +326,7 @@
         site.hosts[name],
         "--port",
         str(PORT),
-        *words,
+        *arguments,
     ]
 
 
@@ -332,29 +334,29 @@
 def running_site(
     *,
     engines: int = 2,
-    desks: int = 1,
+    plain_targets: int = 1,
     entries: int = 2,
     step_ms: float = 5.0,
     load_ms: float = 60.0,
-    engine_words: tuple[str, ...] = (),
+    engine_options: tuple[str, ...] = (),
     **overrides: Any,
 ) -> Iterator[Site]:
-    """Runs a site of separate processes with its document in force.
+    """Runs a site of separate processes with its configuration applied.
 
     Args:
         engines: Model engines, each with its target process.
-        desks: Plain services, each with its target process.
+        plain_targets: Plain services, each with its target process.
         entries: Entry daemons.
         step_ms: Time between the engines' tokens.
         load_ms: Time of an adapter load at the engines.
-        engine_words: Further options of the engines.
+        engine_options: Further options of the engines.
         **overrides: Settings by role or process name.
 
     Yields:
-        The site, every process ready.
+        The site, once every process is ready.
     """
     targets = [f"engine-{i + 1}" for i in range(engines)]
-    targets += [f"desk-{i + 1}" for i in range(desks)]
+    targets += [f"desk-{i + 1}" for i in range(plain_targets)]
     entry_names = tuple(f"entry-{i + 1}" for i in range(entries))
     names = ["platform", "weights", *entry_names]
     for target in targets:
@@ -364,21 +366,26 @@
         site = Site(
             pathlib.Path(folder), hosts, {}, {}, entry_names, tuple(targets)
         )
-        _standin(site, "platform", "objects")
-        _standin(site, "weights", "weights", "--rate-per-s", "50")
+        _add_standin(site, "platform", "objects")
+        _add_standin(site, "weights", "weights", "--rate-per-s", "50")
         for target in targets:
-            behind = f"{target}-behind"
+            backend = f"{target}-behind"
             if target.startswith("engine"):
-                words = ["--step-ms", str(step_ms), "--load-ms", str(load_ms)]
-                words += ["--weight-store-url", site.url("weights")]
-                words += ["--slot-count", "4", *engine_words]
-                _standin(site, behind, "engine", *words)
+                arguments = [
+                    "--step-ms",
+                    str(step_ms),
+                    "--load-ms",
+                    str(load_ms),
+                ]
+                arguments += ["--weight-store-url", site.url("weights")]
+                arguments += ["--slot-count", "4", *engine_options]
+                _add_standin(site, backend, "engine", *arguments)
             else:
-                _standin(site, behind, "plain")
+                _add_standin(site, backend, "plain")
         for name in (*entry_names, *targets):
-            _settings(site, name, overrides)
+            _write_settings(site, name, overrides)
         try:
-            yield _bring_up(site)
+            yield _start_site(site)
         finally:
             for process in site.processes.values():
                 if process.poll() is None:
@@ -387,7 +394,7 @@
                     process.wait()
 
 
-def _bring_up(site: Site) -> Site:
+def _start_site(site: Site) -> Site:
     for name in site.commands:
         site.start(name)
     wait_until(
@@ -406,7 +413,7 @@
 
 
 def text_of_stream(body: bytes) -> str:
-    """Returns the text of a stream of events, which must be whole."""
+    """Returns the text of an event stream, which must be complete."""
     events = body.decode().strip().split("\n\n")
     if events[-1] != "data: [DONE]":
         raise ValueError(f"not a whole stream: {events[-1]!r}")
--- a/tests/daemon/records.py
+++ b/tests/daemon/records.py
@@ -1,4 +1,4 @@
-"""Callers' own records, compared with what was executed."""
+"""Compares the answers that callers received with the executions."""
 
 import collections
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One request and its one outcome.
+    """A request and its outcome.
 
     Attributes:
         kind: ``book`` or ``stream``.
-        name: Its key, or its request id.
-        model: ``adapter@version``, empty for a booking.
-        answer: What came back.
+        name: Idempotency key or request id.
+        model: ``adapter@version``, empty for kind ``book``.
+        answer: The answer that the caller received.
     """
 
     kind: str
@@ -28,11 +28,11 @@
     answer: fixtures.Answer
 
 
-class Crew:
-    """Callers that go on asking while faults happen."""
+class CallerGroup:
+    """Callers that send requests continuously while faults are injected."""
 
     def __init__(self, site: fixtures.Site, *, tokens: int = 12) -> None:
-        """Prepares callers; none asks yet."""
+        """Creates a group without running callers."""
         self.site = site
         self.tokens = tokens
         self.records: list[Record] = []
@@ -40,43 +40,48 @@
         self._threads: list[threading.Thread] = []
         self._lock = threading.Lock()
 
-    def start(self, *, bookers: int, streamers: int) -> None:
+    def start(self, *, booking_callers: int, streaming_callers: int) -> None:
         """Starts callers of both kinds."""
-        for number in range(bookers):
-            self._spawn(self._book, number)
-        for number in range(streamers):
-            self._spawn(self._stream, number)
+        for number in range(booking_callers):
+            self._spawn(self._send_bookings, number)
+        for number in range(streaming_callers):
+            self._spawn(self._send_streams, number)
 
     def _spawn(self, work: Callable[[int], None], number: int) -> None:
         thread = threading.Thread(target=work, args=(number,))
         thread.start()
         self._threads.append(thread)
 
-    def _keep(self, record: Record) -> None:
+    def _add_record(self, record: Record) -> None:
         with self._lock:
             self.records.append(record)
 
     def count(self, kind: str, *, whole: bool = False) -> int:
-        """Returns how many requests of a kind have their outcome."""
+        """Returns how many requests of a kind have finished.
+
+        Args:
+            kind: Kind of the records.
+            whole: Whether to count only answers with status 200.
+        """
         with self._lock:
             return sum(
                 one.kind == kind and (not whole or one.answer.status == 200)
                 for one in self.records
             )
 
-    def _book(self, number: int) -> None:
+    def _send_bookings(self, number: int) -> None:
         entries = itertools.cycle(self.site.entries)
         for index in itertools.count():
             if self._stop.is_set():
                 return
             key = f"crew-{number}-{index}"
-            # Each key is sent twice, through both entries, whatever came of
-            # the first.
+            # Each key is sent twice, through two entry daemons in turn,
+            # whatever the first answer is.
             for entry in (next(entries), next(entries)):
-                answer = self.site.book(entry, key, {"n": index})
-                self._keep(Record("book", key, "", answer))
+                answer = self.site.reserve(entry, key, {"n": index})
+                self._add_record(Record("book", key, "", answer))
 
-    def _stream(self, number: int) -> None:
+    def _send_streams(self, number: int) -> None:
         entries = itertools.cycle(self.site.entries)
         for index in itertools.count():
             if self._stop.is_set():
@@ -91,27 +96,27 @@
                 max_tokens=self.tokens,
                 headers={"X-Request-Id": name},
             )
-            self._keep(Record("stream", name, f"{adapter}@1", answer))
+            self._add_record(Record("stream", name, f"{adapter}@1", answer))
 
     def finish(self) -> None:
-        """Lets every caller end the request it has and stop."""
+        """Stops every caller after its current request."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
 
-    def check(self, desks: list[dict], engines: list[dict]) -> None:
-        """Compares the records with what was executed.
+    def check(self, plain_targets: list[dict], engines: list[dict]) -> None:
+        """Compares the records with the executions.
 
         Args:
-            desks: States of the plain services.
+            plain_targets: States of the plain targets.
             engines: States of the engines.
         """
-        by_key: collections.Counter[str] = collections.Counter()
-        for state in desks:
-            by_key.update(state["executions"])
-        doubled = {key: n for key, n in by_key.items() if n > 1}
-        assert not doubled, doubled
-        ran = collections.Counter(
+        executions_by_key: collections.Counter[str] = collections.Counter()
+        for state in plain_targets:
+            executions_by_key.update(state["executions"])
+        duplicates = {key: n for key, n in executions_by_key.items() if n > 1}
+        assert not duplicates, duplicates
+        executions_by_request = collections.Counter(
             execution["request_id"]
             for state in engines
             for execution in state["executions"]
@@ -120,9 +125,9 @@
             assert not state["violations"], state["violations"]
         for record in self.records:
             if record.kind == "book":
-                _check_booking(record, by_key[record.name])
+                _check_booking(record, executions_by_key[record.name])
             else:
-                self._check_stream(record, ran[record.name])
+                self._check_stream(record, executions_by_request[record.name])
 
     def _check_stream(self, record: Record, executions: int) -> None:
         answer = record.answer
--- a/tests/daemon/test_faults.py
+++ b/tests/daemon/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults on real processes; callers' records against execution counts."""
+"""Faults of real processes; checks callers' records against executions."""
 
 import signal
 
@@ -8,122 +8,121 @@
 QUARANTINE_MS = 1_500
 
 
-def _settle(site: fixtures.Site, crew: records.Crew) -> None:
-    """Ends the callers and compares their records with the executions."""
-    crew.finish()
-    desks = [name for name in site.targets if name.startswith("desk")]
+def _stop_and_check(site: fixtures.Site, callers: records.CallerGroup) -> None:
+    """Stops the callers and compares their records with the executions."""
+    callers.finish()
+    plain_targets = [name for name in site.targets if name.startswith("desk")]
     engines = [name for name in site.targets if name.startswith("engine")]
-    crew.check(
-        [site.state(f"{name}-behind") for name in desks],
+    callers.check(
+        [site.state(f"{name}-behind") for name in plain_targets],
         [site.state(f"{name}-behind") for name in engines],
     )
 
 
-def _wait_more(crew: records.Crew, kind: str, more: int) -> None:
-    """Waits until callers have got some more whole answers."""
-    wanted = crew.count(kind, whole=True) + more
+def _wait_for_more(callers: records.CallerGroup, kind: str, more: int) -> None:
+    """Waits until callers have received more successful answers."""
+    expected = callers.count(kind, whole=True) + more
     fixtures.wait_until(
-        lambda: crew.count(kind, whole=True) >= wanted, f"{more} more {kind}"
+        lambda: callers.count(kind, whole=True) >= expected,
+        f"{more} more {kind}",
     )
 
 
-def test_killed_target_processes_double_and_lose_nothing() -> None:
-    """SIGKILL of target processes under load, and their replacement.
+def test_killed_target_processes_repeat_and_lose_nothing() -> None:
+    """Guards against a booking that is executed twice after a SIGKILL.
 
-    Symptom: a booking made twice. Sequence: the target process of a desk is
-    killed after it passed a booking on; the caller sends the key again to
-    its replacement, whose ledger is empty. Cause without the mechanism: an
-    empty ledger taken for proof that the key never ran.
+    The target process of a plain service is killed under load after it
+    forwarded a booking. The caller sends the key again to its replacement,
+    whose empty ledger must not count as proof that the key never ran.
     """
     target = {"quarantine_ms": QUARANTINE_MS, "resume_ms": 500}
-    with fixtures.running_site(desks=2, target=target) as site:
-        crew = records.Crew(site)
-        crew.start(bookers=2, streamers=3)
-        _wait_more(crew, "stream", 4)
+    with fixtures.running_site(plain_targets=2, target=target) as site:
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=2, streaming_callers=3)
+        _wait_for_more(callers, "stream", 4)
         for name in ("desk-1", "engine-1"):
             site.kill(name)
             site.start(name)
             fixtures.wait_until(lambda n=name: site.ready(n), f"{name} is back")
-        _wait_more(crew, "stream", 4)
-        _wait_more(crew, "book", 4)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 4)
+        _wait_for_more(callers, "book", 4)
+        _stop_and_check(site, callers)
 
 
 def test_frozen_target_process_runs_nothing_late() -> None:
-    """SIGSTOP past the callers' deadlines, then SIGCONT.
+    """Guards against calls that are executed after their deadline.
 
-    Symptom: a call executed long after its caller was told that the outcome
-    is unknown and resubmitted it. Sequence: a target process is paused with
-    submissions in its socket and goes on after their deadlines.
+    A target process is paused (SIGSTOP) with submissions in its socket and
+    continues (SIGCONT) after their deadlines. By then the caller has received
+    an unknown outcome and resubmitted the call.
     """
-    with fixtures.running_site(desks=1) as site:
+    with fixtures.running_site(plain_targets=1) as site:
         url = site.url("entry-1", "/v1/services/booking/reserve")
-        first = site.book("entry-1", "warm", {})
+        first = site.reserve("entry-1", "warm", {})
         assert first.status == 200
         site.signal("desk-1", signal.SIGSTOP)
         headers = {"Idempotency-Key": "late", "X-Request-Timeout-Ms": "300"}
         answer = fixtures.call("POST", url, {}, headers=headers)
         assert (answer.status, answer.executed) == (504, "unknown"), answer
         site.signal("desk-1", signal.SIGCONT)
-        after = site.book("entry-2", "after", {})
+        after = site.reserve("entry-2", "after", {})
         assert after.status == 200
         executions = site.state("desk-1-behind")["executions"]
         assert executions == {"warm": 1, "after": 1}
 
 
 def test_frozen_engine_process_under_load() -> None:
-    """An engine's target process is frozen and thawed under load."""
+    """An engine's target process is paused and continued under load."""
     with fixtures.running_site() as site:
-        crew = records.Crew(site)
-        crew.start(bookers=1, streamers=3)
-        _wait_more(crew, "stream", 4)
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=1, streaming_callers=3)
+        _wait_for_more(callers, "stream", 4)
         site.signal("engine-2", signal.SIGSTOP)
-        _wait_more(crew, "book", 4)
+        _wait_for_more(callers, "book", 4)
         site.signal("engine-2", signal.SIGCONT)
-        _wait_more(crew, "stream", 4)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 4)
+        _stop_and_check(site, callers)
 
 
 def test_engine_restarted_cold_in_mid_stream() -> None:
-    """Engines restart with nothing loaded while they stream.
+    """Guards against truncated answers and answers of another adapter.
 
-    Symptom: a short answer taken for a whole one, or an answer of another
-    adapter. Sequence: the engine dies in mid-stream and comes back empty.
-    Cause without the mechanism: grants that outlive the incarnation they
-    were given for, an end of the connection taken for the end of the answer.
+    Engines crash in mid-stream and restart with no adapter loaded. The failure
+    occurs if grants outlive the incarnation they were issued for, or if the end
+    of the connection counts as the end of the answer.
     """
     with fixtures.running_site() as site:
-        crew = records.Crew(site, tokens=30)
-        crew.start(bookers=0, streamers=4)
+        callers = records.CallerGroup(site, tokens=30)
+        callers.start(booking_callers=0, streaming_callers=4)
         for name in ("engine-1", "engine-2", "engine-1"):
-            _wait_more(crew, "stream", 3)
+            _wait_for_more(callers, "stream", 3)
             fixtures.call(
                 "POST", site.url(f"{name}-behind", "/standin/restart")
             )
-        _wait_more(crew, "stream", 4)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 4)
+        _stop_and_check(site, callers)
 
 
 def test_failed_loads_and_lost_answers_to_loads() -> None:
-    """Loads fail, and answers to loads that took effect are lost."""
+    """Loads fail, and answers to successful loads are lost."""
     with fixtures.running_site() as site:
         for name in ("engine-1", "engine-2"):
             site.faults(f"{name}-behind", lost_load_answers=3)
-        crew = records.Crew(site)
-        crew.start(bookers=0, streamers=3)
-        _wait_more(crew, "stream", 6)
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=0, streaming_callers=3)
+        _wait_for_more(callers, "stream", 6)
         for name in ("engine-1", "engine-2"):
             site.faults(f"{name}-behind", load_failure_rate=0.5)
-        _wait_more(crew, "stream", 3)
+        _wait_for_more(callers, "stream", 3)
         for name in ("engine-1", "engine-2"):
             site.faults(f"{name}-behind", load_failure_rate=0.0)
-        _wait_more(crew, "stream", 6)
-        _settle(site, crew)
+        _wait_for_more(callers, "stream", 6)
+        _stop_and_check(site, callers)
 
 
-def test_engine_that_runs_another_adapter_is_found_out() -> None:
-    """No answer of a wrong adapter reaches a caller."""
-    with fixtures.running_site(desks=0, engines=1) as site:
+def test_engine_that_runs_another_adapter_is_detected() -> None:
+    """Guards against returning the answer of a wrong adapter."""
+    with fixtures.running_site(plain_targets=0, engines=1) as site:
         site.faults("engine-1-behind", wrong_adapter="adapter-9@1")
         for stream in (False, True):
             answer = site.complete("entry-1", "adapter-2", "x", stream=stream)
@@ -133,35 +132,34 @@
         assert site.complete("entry-1", "adapter-2", "x").status == 200
 
 
-def test_object_api_down_for_long() -> None:
-    """An outage of the object API stops no request.
+def test_long_outage_of_the_object_api() -> None:
+    """Guards against an outage of the object API that stops requests.
 
-    A process that restarts in the outage is not ready, since it holds no
-    version; the others go on with theirs, and an operator's change is
-    refused or uncertain, never half in force.
+    A process that restarts during the outage is not ready, since it has no
+    configuration version. The others keep theirs. An operator's change is
+    rejected or its outcome is unknown, but it is never partially applied.
     """
     with fixtures.running_site() as site:
-        crew = records.Crew(site)
-        crew.start(bookers=1, streamers=2)
-        _wait_more(crew, "stream", 2)
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=1, streaming_callers=2)
+        _wait_for_more(callers, "stream", 2)
         site.faults("platform", outage=True)
-        _wait_more(crew, "stream", 4)
-        _wait_more(crew, "book", 4)
-        refused = site.radishctl("customer", "set", "lab", "share", "3.0")
-        assert refused.returncode == 4, refused
+        _wait_for_more(callers, "stream", 4)
+        _wait_for_more(callers, "book", 4)
+        rejected = site.radishctl("customer", "set", "lab", "share", "3.0")
+        assert rejected.returncode == 4, rejected
         site.faults("platform", outage=False)
         accepted = site.radishctl("customer", "set", "lab", "share", "3.0")
         assert accepted.returncode == 0, accepted
         site.wait_in_force(2)
-        _settle(site, crew)
+        _stop_and_check(site, callers)
 
 
 def test_process_that_starts_in_an_outage_asks_its_peers() -> None:
-    """A replaced VM serves the version in force although the store is down.
+    """Guards against VMs that stay unready when replaced in a store outage.
 
-    Symptom: every VM replaced during an outage of the object API stays
-    unready, or comes back with an old version. Sequence: the store goes
-    down, an entry is replaced. Without the mechanism it has nobody to ask.
+    The object API fails and an entry daemon is replaced. Unless it reads the
+    current version from its peers, it stays unready or serves an old one.
     """
     with fixtures.running_site(engines=1, entries=1) as site:
         changed = site.radishctl("customer", "set", "lab", "share", "2.5")
@@ -176,7 +174,7 @@
 
 
 def test_answer_to_a_commit_is_lost() -> None:
-    """A change whose answer was lost is found again, not applied twice."""
+    """Guards against applying a change twice when its answer is lost."""
     with fixtures.running_site(engines=1, entries=1) as site:
         site.faults("platform", lost_write_answers=2)
         changed = site.radishctl("customer", "set", "lab", "share", "4.0")
@@ -186,29 +184,28 @@
 
 
 def test_service_moves_while_its_keys_are_sent() -> None:
-    """A key runs once although its service moves to other targets.
+    """Guards against a booking that is executed twice after a service moves.
 
-    Symptom: a doubled booking after an operator moved the service. Sequence:
-    the key runs on its old home; the service moves; the caller sends the key
-    again, and its new home has never seen it. Cause without the mechanism:
-    the new home does not ask the old one.
+    A key runs on its old home, an operator moves the service to other targets,
+    and the caller sends the key again. The new home has no record of the key
+    and must ask the old one.
     """
-    with fixtures.running_site(desks=3) as site:
-        crew = records.Crew(site)
-        crew.start(bookers=3, streamers=0)
+    with fixtures.running_site(plain_targets=3) as site:
+        callers = records.CallerGroup(site)
+        callers.start(booking_callers=3, streaming_callers=0)
         for targets in ("[desk-1]", "[desk-2, desk-3]", "[desk-1, desk-2]"):
-            _wait_more(crew, "book", 6)
+            _wait_for_more(callers, "book", 6)
             moved = site.radishctl(
                 "service", "set", "booking", "targets", targets
             )
             assert moved.returncode == 0, moved
-        _wait_more(crew, "book", 6)
-        _settle(site, crew)
+        _wait_for_more(callers, "book", 6)
+        _stop_and_check(site, callers)
 
 
 def test_two_operators_at_the_same_moment() -> None:
-    """Changes that commute are both accepted; of others one is refused."""
-    with fixtures.running_site(engines=1, entries=1, desks=0) as site:
+    """Commuting changes are both accepted; a conflicting one is rejected."""
+    with fixtures.running_site(engines=1, entries=1, plain_targets=0) as site:
         first = site.radishctl("customer", "set", "lab", "share", "5.0")
         second = site.radishctl(
             "customer", "set", "rental-house", "share", "6.0"
--- a/tests/daemon/test_shutdown.py
+++ b/tests/daemon/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Leaving and graceful shutdown on real processes."""
+"""Draining and graceful shutdown of real processes."""
 
 import threading
 
@@ -28,7 +28,9 @@
 
 
 def _check_drain(name: str) -> None:
-    with fixtures.running_site(engines=1, desks=0, step_ms=10.0) as site:
+    with fixtures.running_site(
+        engines=1, plain_targets=0, step_ms=10.0
+    ) as site:
         answers: list[fixtures.Answer] = []
         caller = _stream_in_background(site, "entry-1", answers)
         fixtures.wait_until(
@@ -41,20 +43,20 @@
 
 
 def test_entry_drains_with_a_stream_in_flight() -> None:
-    """SIGTERM at an entry cuts no answer that has begun."""
+    """SIGTERM to an entry daemon truncates no started answer."""
     _check_drain("entry-1")
 
 
 def test_target_drains_with_a_stream_in_flight() -> None:
-    """SIGTERM at a target process cuts no run in flight."""
+    """SIGTERM to a target process aborts no run in flight."""
     _check_drain("engine-1")
 
 
-def test_drain_limit_cuts_and_says_so() -> None:
-    """What is still in flight at the limit is cut, logged and counted."""
+def test_drain_limit_aborts_and_logs() -> None:
+    """Runs in flight at the drain limit are aborted, logged and counted."""
     target = {"drain_ms": 100}
     with fixtures.running_site(
-        engines=1, desks=0, step_ms=30.0, target=target
+        engines=1, plain_targets=0, step_ms=30.0, target=target
     ) as site:
         answers: list[fixtures.Answer] = []
         caller = _stream_in_background(site, "entry-1", answers)
@@ -68,9 +70,11 @@
         assert not answers[0].whole or answers[0].status != 200
 
 
-def test_second_signal_ends_at_once() -> None:
-    """A second SIGTERM does not wait for the drain."""
-    with fixtures.running_site(engines=1, desks=0, step_ms=30.0) as site:
+def test_second_signal_exits_at_once() -> None:
+    """A second SIGTERM exits without waiting for the drain."""
+    with fixtures.running_site(
+        engines=1, plain_targets=0, step_ms=30.0
+    ) as site:
         answers: list[fixtures.Answer] = []
         caller = _stream_in_background(site, "entry-1", answers)
         fixtures.wait_until(
@@ -84,12 +88,12 @@
         caller.join()
 
 
-def test_leaving_target_gets_no_new_work() -> None:
-    """The platform lists a target as leaving; it refuses, others take over.
+def test_draining_target_gets_no_new_work() -> None:
+    """Guards against work that is lost with a VM announced as leaving.
 
-    Symptom: work lost with a VM that everybody knew would go. Sequence: the
-    list says leaving, entries learn it before, after or never; the target
-    process refuses on its own word.
+    The platform lists a target as leaving. Entry daemons may observe this
+    before the target, after it or never, so the target process itself rejects
+    new work and other targets run it.
     """
     with fixtures.running_site() as site:
         for index in range(4):
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -107,7 +107,7 @@
             lambda: _count_aborted_responses(gateway, ended=True) > before,
             "it is noticed",
         )
-        await fleet.restart_ended()
+        await fleet.restart_exited()
     return answer
 
 
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -1,4 +1,4 @@
-"""What gateways and processes beside engines tell each other."""
+"""Messages between gateways and sidecars, and their cost."""
 
 import random
 
@@ -12,10 +12,10 @@
 
 from tests.fleet import fixtures
 
-MANY = 300
+VERSION_COUNT = 300
 
 
-def _announce(fleet: fixtures.Fleet, adapter: str, version: int) -> None:
+def _publish_version(fleet: fixtures.Fleet, adapter: str, version: int) -> None:
     fleet.store.put(
         "versions",
         f"{fixtures.MODEL}.{adapter}",
@@ -24,22 +24,22 @@
 
 
 def test_an_engine_learns_of_a_version_after_hundreds_of_others() -> None:
-    """Symptom: the first caller after a new version waits for its load.
+    """Guards against a first caller that waits for the load of a new version.
 
-    Sequence: three hundred versions are announced, then one of an adapter
-    that an engine holds and nobody asks for now. Cause: every word to a
-    process beside an engine repeated the oldest 256, cut without a line in
-    the log, so it never heard of a later one and kept the old version.
+    300 versions are announced, then one of an adapter that is loaded on an
+    engine without current requests. If each message to a sidecar repeats the
+    oldest 256 versions and drops the rest without a log line, the sidecar never
+    receives a later one and keeps the old version.
     """
 
     async def play() -> None:
         async with fixtures.running_fleet(engines=1, plain=0) as fleet:
             (engine,) = fleet.targets.values()
             await fleet.call("/chat/x", adapter="a1")
-            for number in range(MANY):
-                _announce(fleet, f"other{number}", 2)
+            for number in range(VERSION_COUNT):
+                _publish_version(fleet, f"other{number}", 2)
             engine.newest["a1"] = 2
-            _announce(fleet, "a1", 2)
+            _publish_version(fleet, "a1", 2)
             await fleet.until(
                 lambda: engine.adapters.get("a1") != 1,
                 "the old version gives way",
@@ -48,13 +48,15 @@
     fixtures.run(play)
 
 
-def test_what_a_word_leaves_out_is_counted() -> None:
-    """Entries that do not fit must not vanish without a trace."""
-    wants = tuple(
+def test_omitted_entries_are_counted() -> None:
+    """Guards against silently dropping entries that do not fit."""
+    load_requests = tuple(
         adapter_keeper.LoadRequest(f"base/a{number}", 0)
         for number in range(fleet_wire.MAX_ENTRIES + 7)
     )
-    demand = adapter_keeper.Demand("g", "i", 9, ("base",), (), wants, {})
+    demand = adapter_keeper.Demand(
+        "g", "i", 9, ("base",), (), load_requests, {}
+    )
     datagram = fleet_wire.DemandDatagram(demand, "10.0.0.1:90")
     assert fleet_wire.omitted_count(datagram) == 7
     read = fleet_wire.decode(fleet_wire.encode(datagram))
@@ -69,11 +71,11 @@
     )
 
 
-def test_gateways_are_counted_before_all_are_named() -> None:
-    """Symptom: right after a start all gateways together retry too much.
+def test_gateways_are_counted_before_all_are_listed() -> None:
+    """Guards against gateways that together retry too much after a start.
 
-    Sequence: a gateway hears a first word that names four of sixty-eight.
-    Cause: it took its part of the retry allowance as one of five.
+    The first message that a gateway receives lists 4 of 68 gateways. If it
+    counts only those, it uses a fifth of the retry allowance.
     """
     peers = _peers()
     peers.record_peers(("10.0.0.3:90", "10.0.0.4:90"))
@@ -81,8 +83,8 @@
     assert peers.count == 68
 
 
-def test_a_count_of_gateways_that_have_gone_is_given_up() -> None:
-    """A part of an allowance is not kept small for those that left."""
+def test_an_outdated_count_of_gateways_expires() -> None:
+    """Guards against a share of an allowance reduced for former gateways."""
     peers = _peers()
     now_ms = clock.boot_ms()
     peers.record_gateway_count(68, now_ms)
@@ -92,11 +94,12 @@
     assert peers.count == 12
 
 
-def test_gateways_that_are_named_no_more_are_forgotten() -> None:
-    """Symptom: in an outage a new gateway asks one peer after another in vain.
+def test_gateways_that_are_no_longer_listed_expire() -> None:
+    """Guards against requests to many former peers during an outage.
 
-    Sequence: VMs are replaced day after day. Cause: names of gateways were
-    kept for good, so most of them were of former ones.
+    VMs are replaced every day. If names of gateways never expire, most of them
+    belong to former ones, and a new gateway asks one after another without
+    an answer.
     """
     peers = _peers()
     peers.record_peers(("10.0.0.1:90", "10.0.0.3:90"))
@@ -105,15 +108,16 @@
     peers.expire(now_ms)
     assert "10.0.0.3:90" in peers.addresses
     peers.expire(now_ms + peers_lib.PEER_TTL_MS + 1)
-    # No word came at all: the fault is here, and all names are kept.
+    # All names are kept if no message arrives at all, since the fault is then
+    # local.
     assert "10.0.0.3:90" in peers.addresses
 
 
 def test_a_server_does_not_wake_an_idle_process() -> None:
-    """Symptom: an idle gateway wakes forty times a second for its servers.
+    """Guards against an idle gateway that wakes 40 times a second.
 
-    Sequence: nothing is asked of four servers. Cause: each looked ten times
-    a second whether it was to end.
+    Its four servers receive no requests. The failure occurs if each polls its
+    exit flag ten times a second.
     """
 
     async def app(
@@ -124,34 +128,34 @@
 
     ticks = 0
 
-    class Counted(web.Server):
+    class CountingServer(web.Server):
         async def on_tick(self, counter: int) -> bool:
             nonlocal ticks
             ticks += 1
             return await super().on_tick(counter)
 
     async def play() -> None:
-        every_s, web.DATE_REFRESH_S = web.DATE_REFRESH_S, 3_600.0
+        refresh_s, web.DATE_REFRESH_S = web.DATE_REFRESH_S, 3_600.0
         config = web.make_server(app, "127.0.0.1", 0).config
-        server = Counted(config)
+        server = CountingServer(config)
         try:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(web.serve, server)
                 (listener,) = server.servers
                 port = listener.sockets[0].getsockname()[1]
                 for _ in range(30):
-                    await _ask(f"127.0.0.1:{port}")
+                    await _send_request(f"127.0.0.1:{port}")
                     await anyio.sleep(0.01)
-                # The end is taken at once, though no tick is due.
+                # The server exits at once, though no tick is due.
                 server.should_exit = True
         finally:
-            web.DATE_REFRESH_S = every_s
+            web.DATE_REFRESH_S = refresh_s
         assert ticks == 2, ticks
 
     fixtures.run(play)
 
 
-async def _ask(address: str) -> None:
+async def _send_request(address: str) -> None:
     connection = await http_client.open_connection(address, 2_000)
     assert isinstance(connection, http_client.Connection), connection
     connection.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -160,11 +164,12 @@
     connection.close()
 
 
-def test_a_storm_of_configurations_costs_few_calls() -> None:
-    """Symptom: every gateway calls the store for each change of a storm.
+def test_a_burst_of_configurations_causes_few_calls() -> None:
+    """Guards against a store call per gateway for each change of a burst.
 
-    Sequence: forty versions of the configuration, 10 ms apart. Cause: changes
-    were gathered for 120 ms whatever time there is to bring them into force.
+    40 configuration versions are published 10 ms apart. The failure occurs if
+    changes are coalesced for 120 ms, however much time is left to activate
+    them.
     """
 
     async def play() -> None:
@@ -184,7 +189,7 @@
                 for labels, count in samples
                 if labels.get("kind") == "config"
             )
-            # Its list, the first change, and all that gathered after it.
+            # The initial list, the first change, and the coalesced later ones.
             assert calls <= 3, calls
 
     fixtures.run(play)
