--- a/packages/radishstack/src/radishstack/connection/clock_offset.py
+++ b/packages/radishstack/src/radishstack/connection/clock_offset.py
@@ -12,7 +12,7 @@
     days, so with an older minimum deadlines would shrink.
     """
 
-    __slots__ = ("_current_ms", "_previous_ms", "_since_ms")
+    __slots__ = ("_previous_min_ms", "_window_min_ms", "_window_start_ms")
 
     def __init__(self) -> None:
         """Creates an offset without an estimate."""
