--- a/packages/radishstack/src/radishstack/process/adapter_keeper.py
+++ b/packages/radishstack/src/radishstack/process/adapter_keeper.py
@@ -17,8 +17,8 @@
 from radishstack.process import popularity
 
 # How long a gateway's uses of adapters count. Gateways renew them several times
-# a second, so a gateway is lost after this time. The engine itself still
-# protects runs from an unload.
+# a second, so a gateway without messages for this time has ended or is cut off.
+# The engine itself still protects runs from an unload.
 USE_TTL_MS = 2_000
 # How long a gateway's load requests count. Each message contains all of them,
 # several times a second, so a gateway without messages for this time has no
@@ -47,7 +47,7 @@
 # store.
 GAP_WEIGHT = 0.25
 FIRST_GAP_MS = 60.0
-# Adapters in transit to one engine: the most that engines accept.
+# Maximum number of adapters in transit to one engine; engines accept no more.
 MAX_IN_TRANSIT = 4
 # Weight of the newest fetch in the moving average of the fetch time.
 FETCH_WEIGHT = 0.3
@@ -218,7 +218,7 @@
     Attributes:
         wait_ms: Time until a load requested now is done, behind all others.
         gap_ms: Time between two loads, which each queued load adds.
-        in_time_ms: Time until it is done ahead of loads that are late for all
+        in_time_ms: Like ``wait_ms``, but ahead of loads that are late for all
             their callers.
         fetch_ms: Time that a load takes without a queue.
     """
@@ -453,7 +453,7 @@
         ]
         # Adapters in the engine's memory go first: they load in a tenth of the
         # time and hardly delay the others. Loads that are late for all their
-        # callers go last: in a rush, first come first served would make nearly
+        # callers go last: in a burst, first come first served would make nearly
         # every load late.
         queue.sort(
             key=lambda entry: (
--- a/packages/radishstack/src/radishstack/process/audience.py
+++ b/packages/radishstack/src/radishstack/process/audience.py
@@ -13,8 +13,8 @@
 import itertools
 
 # Interval of updates to active gateways, which grows with their number up to
-# the maximum. A gateway counts an engine as stale after 700 ms, so two updates
-# must fit even if one is lost.
+# the maximum. A gateway counts an engine as stale after 700 ms, so two
+# intervals must be shorter than that, in case one update is lost.
 ACTIVE_UPDATE_MS = 200
 MAX_ACTIVE_UPDATE_MS = 330
 # Up to this number of gateways, all get updates at the active interval and are
--- a/packages/radishstack/src/radishstack/process/crash_evidence.py
+++ b/packages/radishstack/src/radishstack/process/crash_evidence.py
@@ -41,12 +41,12 @@
 REPORT_LAG_MS = 25
 # Duration of the first quarantine, after which one request is sent as a trial;
 # each further crash multiplies it by QUARANTINE_GROWTH. A harmless request is
-# served again within minutes, and a harmful one crashes only three more targets
+# served again within minutes, and a harmful one crashes only four more targets
 # on its first day.
 QUARANTINE_MS = 5 * 60_000
 QUARANTINE_GROWTH = 6
-# Duration of the quarantine if another suspect of several crashes was running
-# at all but fewer than MIN_CRASHES_ALONE of the crashes. While several requests
+# Duration of the quarantine if the request was the only suspect of several
+# crashes at fewer than MIN_CRASHES_ALONE of its crashes. While several requests
 # crash targets, a popular request runs beside them each time, and could not
 # succeed if all gateways rejected it. Also the interval between the gateways'
 # turns to send a trial.
@@ -302,7 +302,7 @@
     def _was_alone(
         self, fingerprint: str, incarnation_id: incarnation.IncarnationId
     ) -> bool:
-        """Whether no other suspect of several crashes was at a crash."""
+        """Whether no other suspect of several crashes ran at a crash."""
         others = self._suspects_by_incarnation.get(incarnation_id, set()) - {
             fingerprint
         }
@@ -311,7 +311,7 @@
         )
 
     def _is_ambiguous(self, record: Record, crash_count: int) -> bool:
-        """Whether a suspect of the last crash was at as many crashes."""
+        """Whether another suspect of the last crash ran at as many crashes."""
         others = self._suspects_by_incarnation.get(
             record.observations[-1].incarnation_id, set()
         )
--- a/packages/radishstack/src/radishstack/process/placement.py
+++ b/packages/radishstack/src/radishstack/process/placement.py
@@ -52,7 +52,7 @@
 SLOW_FIRST_BYTE_WEIGHT = 2.0
 # Load queue at the home, in fetch times, above which the next engine in the
 # order loads the adapter. A higher limit keeps adapters on fewer engines, a
-# lower one spreads a rush.
+# lower one spreads a burst of loads over more engines.
 HOME_WAIT_FETCHES = 1.0
 # Fetch time assumed until an engine reports one; engines publish this value in
 # their configuration. It only decides when the next engine in the order is
@@ -70,7 +70,7 @@
 # time, so a late one delays none that is in time.
 LATE_WAIT_FRACTION = 1 / 3
 # How long an older version still serves while the new one is loaded. The
-# platform allows longer, by the time that a request may wait.
+# platform's limit is longer by the time that a request may wait.
 OLD_VERSION_MS = 2_500
 LATENCY_FLOOR_MS = 20.0
 
@@ -460,7 +460,7 @@
         return wait.wait_ms + wait.gap_ms * view.own_load_requests
 
     def _in_time_ms(self, address: str) -> float:
-        """Predicts how long it takes if it precedes loads that are late."""
+        """Predicts how long a load takes if it goes ahead of late loads."""
         view = self.views[address]
         wait = view.load_wait
         return wait.in_time_ms + wait.gap_ms * view.own_load_requests
--- a/packages/radishstack/src/radishstack/process/roster.py
+++ b/packages/radishstack/src/radishstack/process/roster.py
@@ -13,8 +13,8 @@
 from radishstack.process import store_position
 
 # Weight of the newest outcome in the failure share. With 0.25, three
-# consecutive failures raise it above UNHEALTHY_FAILURE_SHARE, and five good
-# responses lower it below again.
+# consecutive failures raise it from 0 above UNHEALTHY_FAILURE_SHARE, and at
+# most three good responses lower it below again.
 FAILURE_WEIGHT = 0.25
 UNHEALTHY_FAILURE_SHARE = 0.5
 # Duration of an ejection, which doubles with each one up to the maximum. It is
@@ -22,16 +22,16 @@
 EJECTION_BASE_MS = 300
 EJECTION_MAX_MS = 2_400
 MAX_EJECTIONS = 8
-# Heartbeat intervals that each entry of the list lasts at least after the start
-# of an outage. Entries expire after three intervals without a renewal, and the
-# last renewal was up to one interval before. The remaining half interval allows
-# for late renewals.
+# Minimum time from the start of an outage until an entry of the list expires,
+# in heartbeat intervals. Entries expire after three intervals without a
+# renewal, and the last renewal was up to one interval before. The remaining
+# half interval allows for late renewals.
 MIN_TTL_HEARTBEATS = 1.5
 # Weight of the newest response in the latency estimate.
 LATENCY_WEIGHT = 0.2
-# Decay of the longest stall of a target's streams with each event that follows
-# a shorter one. A stall counts for about fifty events, which is one to two
-# seconds.
+# Factor by which the longest stall of a target's streams decays with each
+# event after a shorter one. A stall counts for about fifty events, which is one
+# to two seconds.
 STALL_DECAY = 0.98
 # Number of former incarnations that are remembered per name. Outdated messages
 # are a few seconds old, and a target restarts at most a few times in that time.
@@ -237,7 +237,7 @@
         return True
 
     def begin_grace(self, now_ms: int) -> None:
-        """Starts the grace period, in which targets outlive missing entries.
+        """Starts the grace period, in which missing entries drop no targets.
 
         Args:
             now_ms: When the list could be read again.
--- a/packages/radishstack/src/radishstack/process/shared_budget.py
+++ b/packages/radishstack/src/radishstack/process/shared_budget.py
@@ -11,7 +11,7 @@
 
 
 class SharedBudget:
-    """One process' share of the budget for one service.
+    """One process's share of the budget for one service.
 
     Attributes:
         part: This process' share of the fixed allowance, which shrinks as more
--- a/packages/radishstack/src/radishstack/process/target_rate_limits.py
+++ b/packages/radishstack/src/radishstack/process/target_rate_limits.py
@@ -3,7 +3,7 @@
 Load pattern: an overloaded target advertises in its responses how many requests
 per second it accepts from all gateways together. Divided equally, such a rate
 is less than one request per gateway. Therefore only as many gateways as the
-rate allows send to the target, each with a token bucket that has an equal part
+rate allows send to the target, each with a token bucket that has an equal share
 of the rate. Rendezvous hashing selects them without coordination. The other
 gateways route requests elsewhere and probe the target occasionally to detect
 the end of the limit.
@@ -123,7 +123,7 @@
 
 
 class TargetRateLimits:
-    """Tracks targets' rate limits and enforces one gateway's part of them."""
+    """Tracks targets' rate limits and enforces one gateway's share of them."""
 
     def __init__(
         self,
--- a/packages/radishstack/src/radishstack/request/forwarding.py
+++ b/packages/radishstack/src/radishstack/request/forwarding.py
@@ -1,8 +1,8 @@
 """Decides whether and where a forwarded request is sent again.
 
-The rule above all others: a request that may have run is sent again only if
-its route allows it to run twice. Only two things prove that a request did not
-run: the connection was never opened, or the target states it.
+A request that may have run is sent again only if its route allows it to run
+twice; no other rule overrides this. Only two things prove that a request did
+not run: the connection was never opened, or the target states it.
 """
 
 import dataclasses
--- a/packages/radishstack/src/radishstack/request/silence.py
+++ b/packages/radishstack/src/radishstack/request/silence.py
@@ -13,12 +13,12 @@
 # objective, so that another target can still answer within the route's time.
 OBJECTIVE_FRACTION = 0.75
 MIN_STALL_MS = 150
-# A stream that stalls is moved shortly before the stall misses the gap
+# A stream that stalls is moved shortly before the stall exceeds the gap
 # objective.
 GAP_OBJECTIVE_FRACTION = 0.8
 # An engine whose other streams progress, or whose streams have stalled before,
 # is assumed alive. While its other streams progress, the stall timeout is
-# longer by ``LIVE_ENGINE_FACTOR``, which still leaves time before callers
+# multiplied by ``LIVE_ENGINE_FACTOR``, which still leaves time before callers
 # disconnect. Otherwise it is ``USUAL_PAUSE_FACTOR`` times the usual pause of
 # its streams, up to the same limit.
 LIVE_ENGINE_FACTOR = 4.0
--- a/packages/radishstack/src/radishstack/request/waiting.py
+++ b/packages/radishstack/src/radishstack/request/waiting.py
@@ -115,8 +115,8 @@
         if choice.send is not None:
             return Send(choice.send, choice.version)
         if choice.full_for_ms and not self._begun:
-            # The adapter would not be loaded in time. Rejected at once, the
-            # caller retries when the loads queued now are done.
+            # The adapter would not be loaded in time. If the request is
+            # rejected now, its caller retries when the queued loads are done.
             return self._reject(
                 f"every target has loads for {choice.full_for_ms} ms",
                 (choice.full_for_ms // 2, choice.full_for_ms),
