--- a/packages/radishd/src/radishd/connection/crash_watch.py
+++ b/packages/radishd/src/radishd/connection/crash_watch.py
@@ -1,4 +1,4 @@
-"""Distinguishes crashed targets from connections that only broke.
+"""Distinguishes crashed targets from connections that were interrupted.
 
 An aborted response alone does not prove a crash: a network fault, a connection
 limit or a lost response looks the same. A crashed target has no open
--- a/packages/radishd/src/radishd/connection/http_client.py
+++ b/packages/radishd/src/radishd/connection/http_client.py
@@ -175,7 +175,7 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Completes an unframed response or records why the peer is lost."""
+        """Completes a response without a length; records why it closed."""
         parsing = self._parsing
         if (
             error is None
--- a/packages/radishd/src/radishd/connection/pool.py
+++ b/packages/radishd/src/radishd/connection/pool.py
@@ -47,7 +47,8 @@
 
         Args:
             address: Address to connect to.
-            fresh: Whether the request must not be sent again.
+            fresh: Whether to reuse only a recently used connection, for a
+                request that must not run twice.
 
         Returns:
             The connection, or why none could be opened.
--- a/packages/radishd/src/radishd/gateway.py
+++ b/packages/radishd/src/radishd/gateway.py
@@ -55,7 +55,7 @@
 SWEEP_INTERVAL_MS = 500
 VIEW_TTL_MS = 30_000
 # The balancer removes a VM after two failed checks a second apart. It opens new
-# connections until then, so a draining gateway serves for this long.
+# connections until then, so a draining gateway accepts them for this long.
 UNREADY_MS = 2_600
 EXIT_MARGIN_MS = 700
 # Fraction of the shutdown time for which a request may wait for its adapter;
--- a/packages/radishd/src/radishd/peers.py
+++ b/packages/radishd/src/radishd/peers.py
@@ -18,8 +18,8 @@
 QUERY_TIMEOUT_MS = 800
 CONNECT_TIMEOUT_MS = 300
 MAX_PEERS = 1_024
-# A gateway that no status update has named for this long counts as replaced.
-# Each update names a few gateways, so naming all of them takes some seconds.
+# A gateway that no message has named for this long counts as replaced. Each
+# status update names a few gateways, so naming all of them takes some seconds.
 PEER_TTL_MS = 60_000
 # How long the largest reported gateway count stays valid. Idle gateways receive
 # a status update once a second, and some updates are lost.
--- a/packages/radishd/src/radishd/platform/front.py
+++ b/packages/radishd/src/radishd/platform/front.py
@@ -47,7 +47,7 @@
     }
 )
 # Headers that gateways set for targets. If a caller could set them, it could
-# take over another request's memory, slot, priority or account.
+# take over another request's KV cache memory, slot, priority or account.
 _SYSTEM_HEADERS = frozenset(
     {
         _DEADLINE,
--- a/packages/radishd/src/radishd/process/crash_gossip.py
+++ b/packages/radishd/src/radishd/process/crash_gossip.py
@@ -33,7 +33,7 @@
 GOSSIP_INTERVAL_MS = 1_000
 RECENT_CRASH_MS = 60_000
 OLD_GOSSIP_INTERVAL_MS = 10_000
-# Repeated since a gateway knows few others at its start.
+# A gateway knows few others at its start, so it repeats the request.
 START_REQUEST_DELAYS_MS = (0, 1_000, 3_000)
 MAX_REQUEST_RECEIVERS = 3
 # Number of gateways that rewrite each record after a restore of the store.
@@ -122,10 +122,13 @@
         return bool(self._trials)
 
     def begin_trial(self, fingerprint: str) -> bool:
-        """Whether to send a quarantined request as a trial.
+        """Begins a trial of a quarantined request, if one is due here.
 
-        There is one trial of a request at a time: after True, the caller must
-        call ``end_trial`` once the request has completed.
+        There is at most one trial of a request at a time.
+
+        Returns:
+            Whether the trial has begun. The caller must then call
+            ``end_trial`` once the request has completed.
         """
         if fingerprint in self._trials:
             return False
@@ -154,7 +157,7 @@
         ]
 
     def _update_quarantine(self, fingerprint: str, *, source: str) -> bool:
-        """Logs the begin, change or end of a quarantine.
+        """Logs the beginning, change or end of a quarantine.
 
         Returns:
             Whether the request is in a quarantine that is new or has changed.
@@ -274,7 +277,7 @@
         await self._send(receivers, fleet_wire.CrashReport(asks=True))
 
     async def request_reports_at_start(self) -> None:
-        """Requests reports several times, as known peers may be gone."""
+        """Requests reports several times: peers known first may be gone."""
         began_ms = clock.boot_ms()
         for after_ms in START_REQUEST_DELAYS_MS:
             left_ms = began_ms + after_ms - clock.boot_ms()
--- a/packages/radishd/src/radishd/process/crash_record.py
+++ b/packages/radishd/src/radishd/process/crash_record.py
@@ -34,7 +34,7 @@
 
     Args:
         record: The record.
-        now_ms: This VM's clock.
+        now_ms: The boot clock, the reference of the record's times.
         unix_ms: The wall clock, the reference of the stored times.
     """
     observations = [
@@ -56,7 +56,7 @@
 
     Args:
         spec: The object's content.
-        now_ms: This VM's clock.
+        now_ms: The boot clock, the reference of the record's times.
         unix_ms: The wall clock. Times in its future, which another VM's clock
             may produce, count as now.
 
--- a/packages/radishd/src/radishd/process/decision_log.py
+++ b/packages/radishd/src/radishd/process/decision_log.py
@@ -53,7 +53,7 @@
     def must(self, event: str, **fields: Any) -> None:
         """Logs a rare event, such as a start or a lost dependency.
 
-        The rate limit does not apply to it.
+        The rate limit does not apply to it, but a full buffer still drops it.
         """
         if self.dropped:
             fields["dropped_lines"] = self.dropped
--- a/packages/radishd/src/radishd/process/discovery.py
+++ b/packages/radishd/src/radishd/process/discovery.py
@@ -29,7 +29,8 @@
 
 MS_PER_S = 1_000
 # The short watch of the targets detects a store that no longer answers. The
-# other two kinds change rarely; their watches are replaced when it fails.
+# other two kinds change rarely and have long watches, which are restarted when
+# the short one fails.
 TARGETS_WATCH_MS = 2_000
 # Changes of targets are coalesced for this fraction of the time within which a
 # draining target must get no more requests; the rest is for the watch and for
@@ -49,12 +50,12 @@
 # later. After a shorter outage, the retry of a failed call is about as fast,
 # and replacements that fail again would trigger one another.
 RENEW_AFTER_MS = 500
-# Invalid objects whose position is remembered, so that each revision is logged
-# once, and the logged length of the reason.
+# Maximum number of invalid objects whose position is remembered, so that each
+# revision is logged only once, and maximum length of the logged reason.
 MAX_REJECTED_OBJECTS = 1_024
 MAX_REASON_CHARS = 400
-# Configuration versions whose changes are kept for operators, and changes of
-# one version that are logged.
+# Maximum number of configuration versions whose changes are kept for operators,
+# and maximum number of changes that are logged for one version.
 MAX_CHANGES = 32
 MAX_LOGGED_CHANGES = 12
 
@@ -184,8 +185,8 @@
     def _store_lost(self, kind: str) -> None:
         """Restarts the long watches as soon as the short one has failed.
 
-        They may be cut off without an error. Until they time out, the objects
-        would not be requested from other gateways.
+        The long watches may have lost their connections without an error. Until
+        they time out, their objects would not be requested from other gateways.
         """
         if kind != wire.KIND_TARGETS:
             return
@@ -196,9 +197,10 @@
     def _store_back(self, kind: str, absence: availability.Outage) -> None:
         """Begins the grace period, and replaces watches that may hang.
 
-        The grace period begins with the first answer of any kind: the first
-        answer for the targets may be seconds later, and a grace period from
-        then on would hide targets that leave in the meantime.
+        The grace period begins with the first answer of any kind. The first
+        answer for the targets may be seconds later. A grace period that began
+        then would end later, and keep targets in use that leave in the
+        meantime.
         """
         may_have_expired = self._roster.outage_ended(
             clock.boot_ms(), away_ms=absence.away_ms
@@ -445,7 +447,7 @@
         """Applies objects newer than all that were read or received before.
 
         Otherwise a peer with an older view would restore targets that are known
-        to be leaving, and no watch would remove them again.
+        to be draining, and no watch would remove them again.
         """
         known_position = self._known_position(kind)
         if 0 < known_position.era < peer_position.era:
--- a/packages/radishd/src/radishd/process/load_requests.py
+++ b/packages/radishd/src/radishd/process/load_requests.py
@@ -19,8 +19,8 @@
 MS_PER_S = 1_000
 # Delay of urgent messages, so that several changes share one message.
 URGENT_DELAY_MS = 15
-# Without any demand, a message every third turn is enough for a sidecar not to
-# forget this gateway.
+# Without any demand, a message at every third regular interval, or turn, is
+# enough for a sidecar not to forget this gateway.
 IDLE_TURN_INTERVAL = 3
 
 SendDemand = Callable[[roster_lib.Member], Awaitable[None]]
@@ -81,7 +81,7 @@
 
         Args:
             member: The engine.
-            turn: Number of the turn.
+            turn: Number of the regular interval, from 0.
         """
         if self._demand_table(member.listing.address).has_update:
             return True
@@ -109,7 +109,8 @@
         is_idle = self._demand_table(member.listing.address).ended(adapter)
         view = self._placement.view_of(member)
         if is_idle and view is not None and view.pending:
-            # Loads there wait for the adapter slot of an unused adapter.
+            # Loads there wait for an adapter slot, and the slot of this adapter
+            # is no longer in use.
             self._send_soon(member)
 
     async def apply_choice(
@@ -178,9 +179,9 @@
         """Sends the demand for a new incarnation of an engine at once.
 
         From this message, the sidecar of an engine that has just started
-        receives the listed incarnation and the base model to load. With the
-        next regular message instead, every engine would be empty until then
-        after a power cut.
+        receives the listed incarnation and the base model to load. If this
+        waited for the next regular message, all engines would stay empty until
+        then after a power cut.
         """
         self._send_soon(member)
 
--- a/packages/radishd/src/radishd/process/notifier.py
+++ b/packages/radishd/src/radishd/process/notifier.py
@@ -38,6 +38,9 @@
             event.set()
 
     def notify_all(self) -> None:
-        """Wakes every request, after a change other than of residency."""
+        """Wakes all waiting requests, whichever adapter they wait for.
+
+        Used after changes other than the residency of a single adapter.
+        """
         for adapter in list(self._waiting):
             self.notify(adapter)
--- a/packages/radishd/src/radishd/process/settings.py
+++ b/packages/radishd/src/radishd/process/settings.py
@@ -18,8 +18,8 @@
     frozen=True,
     slots=True,
     kw_only=True,
-    # Only the validator of the whole is built: validators of single parts would
-    # cost each process memory without ever being used.
+    # Only the validator of ``Settings`` as a whole is built: validators of its
+    # parts would cost each process memory without ever being used.
     config=pydantic.ConfigDict(extra="forbid", defer_build=True),
 )
 
--- a/packages/radishd/src/radishd/process/signals.py
+++ b/packages/radishd/src/radishd/process/signals.py
@@ -27,7 +27,7 @@
     """Sets an event on the first SIGTERM or SIGINT.
 
     A second signal exits the process at once: the operator accepts that
-    requests in flight are cut.
+    requests in flight are aborted.
 
     Args:
         stop: Set on the first signal.
--- a/packages/radishd/src/radishd/process/store.py
+++ b/packages/radishd/src/radishd/process/store.py
@@ -42,7 +42,7 @@
     """One VM of the platform's list.
 
     Attributes:
-        name: Name of the VM, which its processes have in their settings.
+        name: Name of the VM, as in the settings of its processes.
         control: Where it receives datagrams, ``ip:port``.
         failure_domain: ``region/domain``.
         leaving: Whether the platform is about to remove it.
--- a/packages/radishd/src/radishd/request/forward.py
+++ b/packages/radishd/src/radishd/request/forward.py
@@ -269,8 +269,8 @@
     def _quarantined(self) -> result.Failure | None:
         """Returns the rejection of a request that crashes targets.
 
-        Forwarded, it would crash the next target too, and with it all requests
-        that run there.
+        If it were forwarded, it would crash the next target too, and all other
+        requests that run there would be lost.
         """
         crash_gossip = self.gateway.crash_gossip
         if not len(crash_gossip.evidence):
@@ -390,7 +390,7 @@
             gateway.load_requests.drop(load_request)
 
     def _due_at_ms(self) -> int:
-        """Returns by when it must be sent to meet its objective."""
+        """Returns the latest send time that meets the latency objective."""
         if self.response_started:
             return clock.boot_ms()
         answer_ms = self.gateway.roster.median_latency_ms(self.service)
@@ -577,9 +577,9 @@
             and self.gateway.has_other_target(self.service, send.member)
         )
         if self.response_started and self.needs_adapter:
-            # The target may only pause, so a stall alone is no reason to
-            # abandon a stream that has started: another target must be able
-            # to resume it at once.
+            # The target may resume after a short pause, so a stall alone is no
+            # reason to abandon a stream that has started. Another target must
+            # also be able to continue it at once.
             can_reroute = can_reroute and self._can_continue_elsewhere(
                 send.member
             )
@@ -763,7 +763,7 @@
     async def _fail(self, failure: result.Failure) -> None:
         self.failure = failure
         if self.response_started:
-            # Ended normally, the partial response would look complete.
+            # If it ended normally, the partial response would look complete.
             raise ResponseAbortedError
         proven_not_run = failure.executed is result.Executed.NO
         if proven_not_run and self.state.may_have_run:
--- a/packages/radishd/src/radishd/sidecar.py
+++ b/packages/radishd/src/radishd/sidecar.py
@@ -237,7 +237,7 @@
             await self.socket.send_all(recipient_group.addresses, update)
 
     def on_process_pause(self, late_ms: int) -> None:
-        """Discards state that a pause of this process made unreliable."""
+        """Drops connections and sends no orders for a while after a pause."""
         self.metrics.pauses.inc({})
         self.log.must("process_paused", late_ms=late_ms)
         self.engine.drop_connections()
--- a/packages/radishd/src/radishd/target.py
+++ b/packages/radishd/src/radishd/target.py
@@ -1,4 +1,4 @@
-"""The target role: the only process that sends its target work and orders."""
+"""The target role: only this process sends its target requests and orders."""
 
 import contextlib
 import functools
@@ -402,7 +402,11 @@
         return ""
 
     async def ask_prior_homes(self, action: event_lib.AskPriorHomes) -> None:
-        """Asks prior homes about a key and reports the worst answer."""
+        """Asks the prior homes of an idempotency key whether its request ran.
+
+        Reports the worst answer: ``RAN`` if any home gave it, otherwise
+        ``UNKNOWN`` if any home gave it, otherwise ``SEALED``.
+        """
         answers: list[ledger_lib.SealReply] = []
 
         async def ask(name: str) -> None:
--- a/packages/radishd/src/radishd/target_evidence.py
+++ b/packages/radishd/src/radishd/target_evidence.py
@@ -73,7 +73,8 @@
     ) -> None:
         """Records that a target aborted a response, as in a crash."""
         # A draining target aborts the requests that it still runs. If these
-        # counted as crashes, a release would quarantine slow requests.
+        # counted as crashes, a software release, which drains each target,
+        # would quarantine slow requests.
         if self._roster.is_active(member, clock.boot_ms()):
             self._crash_watch.record_abort(member, fingerprint, began_at_ms)
 
