--- a/packages/radishctl/src/radishctl/__init__.py
+++ b/packages/radishctl/src/radishctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators command line of radishstack."""
+"""The operators' command line of radishstack."""
--- a/packages/standins/src/standins/engine.py
+++ b/packages/standins/src/standins/engine.py
@@ -363,7 +363,7 @@
 
     Args:
         settings: Behaviour of the engine.
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port to listen on.
         task_status: Receives the engine once its port listens.
     """
--- a/packages/standins/src/standins/platform_engine.py
+++ b/packages/standins/src/standins/platform_engine.py
@@ -199,7 +199,7 @@
             writer.transport.abort()
 
     def listing(self, service: str, address: str, zone: str) -> dict[str, Any]:
-        """Returns the record that it registers in the store."""
+        """Returns the entry that it registers in the store."""
         return {
             "service": service,
             "address": address,
--- a/packages/standins/src/standins/web.py
+++ b/packages/standins/src/standins/web.py
@@ -138,7 +138,7 @@
 
     Args:
         app: The application.
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port to listen on.
         task_status: Notified once the port listens.
     """
--- a/proofs/actors.py
+++ b/proofs/actors.py
@@ -18,7 +18,7 @@
         runs: Running attempts: adapter by attempt id, empty at a plain service.
         orders: Load and unload orders in flight, each with the epoch of the
             process that sent it.
-        fencing_token: Highest order number received; lower ones are ignored.
+        fencing_token: Lowest order number that it still executes.
     """
 
     incarnation: int = 1
--- a/proofs/crashes.py
+++ b/proofs/crashes.py
@@ -264,7 +264,7 @@
 
     @stateful.invariant()
     def no_neighbour_is_refused(self) -> None:
-        """A request that was present at only one crash is never quarantined."""
+        """A request that ran at only one crash is never quarantined."""
         COUNTS["checks"] += 1
         for evidence in self.gateways:
             quarantined = evidence.quarantined(self.now_ms)
--- a/proofs/rate_limits.py
+++ b/proofs/rate_limits.py
@@ -1,9 +1,9 @@
 """Gateways in front of a rate-limited target, in virtual time.
 
-The world simulates what a gateway does with the shipped decisions: it books and
-sends requests, reads the limit from responses and reports changes to the other
-gateways. Reports and responses are delayed and reordered, reports are lost, and
-gateways restart and have different views of the membership.
+The world simulates what a gateway does with the shipped decisions: it makes
+reservations, sends requests, reads the limit from responses and reports changes
+to the other gateways. Reports and responses are delayed and reordered, reports
+are lost, and gateways restart and have different views of the membership.
 """
 
 import collections
--- a/proofs/starts.py
+++ b/proofs/starts.py
@@ -1,6 +1,6 @@
 """State machine over a target that restarts under the same name.
 
-Records, status updates of its sidecar and engine reports arrive late,
+Store entries, status updates of its sidecar and engine reports arrive late,
 duplicated and reordered. The resident adapters of each incarnation are named
 after its start time. Start times are random, since clocks may be set back or
 ahead.
@@ -127,7 +127,7 @@
 
     @stateful.rule()
     def register(self) -> None:
-        """The engine writes its record, immediately or later."""
+        """The engine writes its entry, immediately or later."""
         self._register(self.born_ms)
 
     @stateful.rule()
@@ -157,17 +157,17 @@
 
     @stateful.rule()
     def settle(self) -> None:
-        """The roster applies records that it has withheld."""
+        """The roster applies entries that it has withheld."""
         self.roster.apply_withheld(NOW_MS)
 
     @stateful.rule()
     def read_newest(self) -> None:
-        """The gateway's watch delivers the newest record."""
+        """The gateway's watch delivers the newest entry."""
         self._read(self.records[-1])
 
     @stateful.rule(pick=st.integers(0, 10**6))
     def read_old(self, pick: int) -> None:
-        """A peer or a late response delivers any former record."""
+        """A peer or a late response delivers any former entry."""
         self._read(self.records[pick % len(self.records)])
         COUNTS["fault old entry"] += 1
 
@@ -209,7 +209,7 @@
 
     @stateful.invariant()
     def the_list_is_believed_in_the_end(self) -> None:
-        """The current incarnation is usable once the newest record is read."""
+        """The current incarnation is usable once the newest entry is read."""
         newest = self.records[-1]
         is_latest_current = newest.born_ms == self.born_ms
         if (
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -17,8 +17,8 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 REPEATABLE = frozenset({"long", "look"})
 EVENT_COUNT = 4
-# A gateway counts as undisturbed once neither it, its links nor the store had a
-# fault for this long. Until then the users' pages exempt it.
+# A gateway counts as undisturbed once neither it nor the store has had a fault
+# for this long. Until then the users' pages exempt it.
 UNDISTURBED_MS = 3_000
 DRAINING_SETTLING_MS = 2_000
 # Time after a disconnect until no request of the caller may reach a target.
@@ -92,7 +92,11 @@
         return attempt.gateway if attempt is not None else None
 
     def is_undisturbed(self, gateway: int, from_ms: int, to_ms: int) -> bool:
-        """Whether neither a gateway nor the store had a fault around a time."""
+        """Whether a gateway was undisturbed in a period.
+
+        A fault of the gateway, the store or the whole site disturbs it until
+        ``UNDISTURBED_MS`` after the end of the fault.
+        """
         victims = {f"gateway-{gateway}", "store", "all"}
         return not any(
             event.victim in victims
@@ -335,7 +339,7 @@
 def _was_disturbed(
     evidence: Evidence, gateway: int, from_ms: int, to_ms: int
 ) -> bool:
-    """Whether a gateway was restarted or paused in between."""
+    """Whether a gateway had a fault, such as a restart, in a period."""
     victims = {f"gateway-{gateway}", "all"}
     return any(
         event.victim in victims
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -19,7 +19,7 @@
 
 
 def _seeds(first: int, *kinds: schedule.Kind) -> tuple[str, ...]:
-    """Returns a command that runs two seeds with the faults that expose it."""
+    """Returns arguments for a soak of two seeds with faults of some kinds."""
     of_kinds = [word for kind in kinds for word in ("--kind", str(kind))]
     return (*SOAK, str(first), "--seeds", "2", *of_kinds)
 
--- a/soak/poison.py
+++ b/soak/poison.py
@@ -16,7 +16,8 @@
 BODY = b"what is asked here ends whatever runs it"
 ROUTES = ("chat", "book")
 ADAPTER = "a0"
-# Pause before it is sent again, and how often it is sent twice concurrently.
+# Range of the pause before it is sent again, and the fraction of times that two
+# copies are sent concurrently.
 CALL_INTERVAL_S = (0.1, 1.2)
 CONCURRENT_FRACTION = 0.3
 REQUEST_TIMEOUT_MS = 3_000
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -66,8 +66,8 @@
     Kind.KEYS: "operator",
     Kind.CONFIGURATION: "operator",
 }
-# Intervals before a series of faults, and between the faults of a series. They
-# overlap within a series, so that one begins while another is being handled.
+# Intervals before a series of faults, and between the faults of a series. The
+# faults of a series overlap, so that one begins while another is being handled.
 SERIES_INTERVAL_MS = (500, 3_000)
 FAULT_INTERVAL_MS = (50, 700)
 MAX_SERIES_LENGTH = 4
--- a/soak/world.py
+++ b/soak/world.py
@@ -44,7 +44,8 @@
 MAX_REWRITE_DELAY_S = 2.0
 # Kinds of objects that the operator and targets write.
 REWRITTEN_KINDS = frozenset({"servers", "config", "versions"})
-# The rate limit that a target advertises, and the minimum duration.
+# The rate limit that a target advertises, and the minimum time for which it
+# does so.
 RATE_LIMIT_PER_S = 2.0
 MIN_RATE_LIMIT_S = 6.0
 # How long a draining target still serves, and how long its address stays unused
--- a/tests/daemon/test_bad_input.py
+++ b/tests/daemon/test_bad_input.py
@@ -71,7 +71,7 @@
     """Guards against engines that generate answers nobody reads.
 
     A caller reads the first events of a long stream and closes its connection.
-    Unless the cancellation is forwarded, the target process reads on.
+    Unless the disconnect is forwarded, the target process continues to read.
     """
     with fixtures.running_site(entries=1, engines=1, plain_targets=0) as site:
         body = (
--- a/tests/fleet/test_cold_rush.py
+++ b/tests/fleet/test_cold_rush.py
@@ -265,7 +265,7 @@
     failure had all adapters of an engine loaded elsewhere, and a queue of four
     loads moved an adapter to an engine that had never held it. Each adapter has
     to be fetched once: over three seeds there were 1.28 fetches per adapter
-    with these faults and 1.06 without.
+    before the fix and 1.06 after it.
     """
     for seed in range(3):
         load = _Ordinary(seed)
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -131,10 +131,11 @@
 
     It was repeated every one to three seconds through five gateways. Each sent
     it to the next engine, because no gateway recorded which request an engine
-    had crashed under. All eight crashes in the logs had the same adapter and
-    ``status=502 code=3011``, and came some 350 ms after the request. Three
-    repeats may still reach a target while gateways receive the report of the
-    third crash; later ones must be rejected.
+    had crashed under. All eight crashes in the logs (at 8.727, 9.549, 9.980,
+    14.796, 17.161, 19.696, 23.102 and 24.253 s) had the same adapter and
+    ``status=502 code=3011 sends=["i-...:lost"]``, and came some 350 ms after
+    the request. Three repeats may still reach a target while gateways receive
+    the report of the third crash; later ones must be rejected.
     """
 
     async def play() -> None:
--- a/tests/fleet/test_fleet_words.py
+++ b/tests/fleet/test_fleet_words.py
@@ -75,7 +75,7 @@
     """Guards against gateways that together retry too much after a start.
 
     The first message that a gateway receives lists 4 of 68 gateways. If it
-    counts only those, it uses a fifth of the retry allowance.
+    counts only those, it uses a fifth of the retry budget.
     """
     peers = _peers()
     peers.record_peers(("10.0.0.3:90", "10.0.0.4:90"))
@@ -84,7 +84,7 @@
 
 
 def test_an_outdated_count_of_gateways_expires() -> None:
-    """Guards against a share of an allowance reduced for former gateways."""
+    """Guards against a retry budget that is shared with former gateways."""
     peers = _peers()
     now_ms = clock.boot_ms()
     peers.record_gateway_count(68, now_ms)
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -234,7 +234,7 @@
     """Guards against retries that multiply the load of a failing service.
 
     All requests fail at unevenly loaded gateways, and each gateway spent the
-    whole allowance.
+    whole retry budget.
     """
     ratio, extra, gateways = 0.2, 60.0, 6
     spent, requests = 0, 0
@@ -466,7 +466,8 @@
     keeper.handle_update(demand, 1_000)
     keeper.observe(_report({}))
     order = keeper.decide(1_010)
-    # One of its callers is still in time, and its first one is due first.
+    # Its last caller can still be served in time, and its first caller's due
+    # time is before that of ``fresh``.
     assert order.adapter == "base/mixed"
     keeper.settled(order, 1_010, refused=False)
     keeper.observe(_report({}, {"base/mixed": 1}, accepted=1))
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -22,7 +22,7 @@
 
 
 def test_four_engines_under_a_burst_serve_in_time() -> None:
-    """Two of six engines are missing, and the traffic rises to 1.4 times.
+    """Two of six engines are missing, and traffic rises to 1.4 times normal.
 
     A tenth of the requests was rejected and as many were late. All adapter
     slots are in use, so a load must wait for a request to finish. The bound on
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -33,7 +33,7 @@
 
 
 def test_a_stall_is_tolerated_while_other_streams_progress() -> None:
-    """Load pattern: an engine reads a prompt while other streams progress."""
+    """The engine prefills a prompt while its other streams progress."""
     health = roster.Health()
     health.record_progress(20, NOW_MS - 100)
     assert _allowed_ms(health) == 960
--- a/tests/fleet/test_store_restored.py
+++ b/tests/fleet/test_store_restored.py
@@ -284,7 +284,7 @@
     roster.upsert(_listing(changed_at=72, leaving=True, era=2))
     roster.upsert(_listing(changed_at=80, era=1))
     assert roster.members["i-1"].listing.leaving
-    # The second copy predates the entry that marks the target as leaving.
+    # The second copy predates the entry that lists the target as draining.
     roster.upsert(_listing(changed_at=65, era=3))
     assert roster.members["i-1"].listing.leaving
     roster.upsert(_listing(changed_at=90, leaving=True, era=3))
--- a/tests/fleet/test_target_news.py
+++ b/tests/fleet/test_target_news.py
@@ -69,8 +69,8 @@
 def test_a_listing_does_not_undo_reported_draining() -> None:
     """After a store outage the store has the state from before it.
 
-    Its record with the state ``ready`` was written before the target reported
-    draining, or the record expired and was written anew. Neither may make
+    Its entry with the state ``ready`` was written before the target reported
+    draining, or the entry expired and was written anew. Neither may make
     gateways use the target again.
     """
 
--- a/tests/fleet/test_usage_caps.py
+++ b/tests/fleet/test_usage_caps.py
@@ -108,7 +108,7 @@
 
 
 def test_the_term_of_a_loan_begins_with_its_request() -> None:
-    """Guards against a loan that is used after the lender counts it no more."""
+    """Guards against a loan that is used after it expired at the lender."""
     shares = _shares()
     _spend_share(shares)
     (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
@@ -119,7 +119,7 @@
 
 
 def test_a_loan_counts_once() -> None:
-    """Guards against a datagram that arrives twice or without a request."""
+    """Guards against counting a repeated loan, or one not asked for."""
     shares = _shares()
     _spend_share(shares)
     (_, ask), _ = shares.ask(ACCOUNT, 50.0, NOW_MS)
--- a/tests/stack/test_proofs.py
+++ b/tests/stack/test_proofs.py
@@ -39,7 +39,7 @@
 def test_state_of_former_incarnations_is_ignored() -> None:
     """Guards against use of a former incarnation's adapters after a restart.
 
-    Records, status updates and reports arrive in any order.
+    Store entries, status updates and reports arrive in any order.
     """
     for seed in (1, 2, 3, 4, 5, 8, 9, 210):
         runner.run(
--- a/tests/stack/test_target.py
+++ b/tests/stack/test_target.py
@@ -67,7 +67,7 @@
 
 
 def _home_keys(name: str, count: int) -> list[str]:
-    """Returns keys whose home is the given desk."""
+    """Returns keys whose home is the given target."""
     targets = deployment.PLAIN_TARGETS[:2]
     keys = (f"k{index}" for index in range(1_000))
     mine = (k for k in keys if resolve.home_of("book", k, targets) == name)
