--- a/packages/radishd/src/radishd/platform/engine.py
+++ b/packages/radishd/src/radishd/platform/engine.py
@@ -12,16 +12,14 @@
 from radishd.platform import front
 from radishd.platform import wire
 
-# The engine answers within a few milliseconds, since it runs on the same VM. An
-# order that is not answered within its timeout may have been accepted or may be
-# accepted later. The next report shows which, so a longer timeout would only
-# delay all requests that wait for a load.
+# The engine is on the same VM and answers within a few milliseconds. An order
+# that times out may have been accepted or may yet be. The next report shows
+# which, so a longer timeout would only delay all requests that wait for a load.
 REPORT_TIMEOUT_MS = 500
 ORDER_TIMEOUT_MS = 60
 CONNECT_TIMEOUT_MS = 300
 MS_PER_S = 1_000
-# Only one process sends orders to this engine, so the token need not increase.
-# It must never decrease.
+# Must never decrease; need not increase, since only one process sends orders.
 FENCING_TOKEN = 1
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
@@ -87,8 +85,7 @@
             instance: The incarnation that the order is meant for.
 
         Returns:
-            The outcome; an order without an answer may be executed now, later
-            or never.
+            The outcome; an unanswered order may execute now, later or never.
         """
         body = wire.order(order, self._holder, FENCING_TOKEN)
         head = (
--- a/packages/radishd/src/radishd/platform/front.py
+++ b/packages/radishd/src/radishd/platform/front.py
@@ -30,7 +30,6 @@
 _TOKEN_COUNT = b"x-token-count"
 _BEARER = b"bearer"
 
-# Headers that concern one connection only.
 _HOP_BY_HOP = frozenset(
     {
         _CONNECTION,
@@ -95,8 +94,7 @@
         headers: Headers that are forwarded to the target.
         key_digest: Digest of the API key, ``client_account.NO_KEY`` if there
             is no single well-formed one. The key itself is not forwarded.
-        token_count: Prompt tokens plus maximum output tokens, None if not
-            stated.
+        token_count: Prompt plus maximum output tokens, None if not stated.
     """
 
     attempt_id: str
@@ -260,10 +258,8 @@
     """State of a target that a response reports in its headers.
 
     Attributes:
-        leaving: Whether the target is draining. It will shut down soon, even
-            if requests are still running.
-        backoff_ms: How long the target asks this VM to send it nothing, 0 if
-            not stated.
+        leaving: Whether the target drains and soon stops, even if requests run.
+        backoff_ms: Requested pause in requests from this VM, 0 if not stated.
     """
 
     leaving: bool = False
@@ -317,9 +313,8 @@
         instance: The incarnation that the request was meant for.
 
     Returns:
-        Requests per second that the target accepts from all gateways
-        together, ``UNLIMITED_PER_S`` if the header is absent, None if the
-        response is from another incarnation or the value is invalid.
+        Requests per second from all gateways together, ``UNLIMITED_PER_S``
+        without the header, None if invalid or from another incarnation.
     """
     if _is_other_instance(head, instance):
         return None
--- a/packages/radishd/src/radishd/platform/store.py
+++ b/packages/radishd/src/radishd/platform/store.py
@@ -24,9 +24,8 @@
 _ERA_HEADER = b"store-era"
 CALL_TIMEOUT_MS = 1_500
 CONNECT_TIMEOUT_MS = 500
-# An answer that arrives this long after the wait time of a watch indicates
-# that the store was paused, although no call failed. Answers usually arrive
-# within a few milliseconds.
+# An answer this long after a watch's wait time, not the usual few milliseconds,
+# indicates that the store was paused, although no call failed.
 LATE_ANSWER_MARGIN_MS = 400
 MS_PER_S = 1_000
 MAX_PAGES = 1_000
@@ -38,8 +37,7 @@
     Attributes:
         on_outage_ended: Called with the requested kind when a store outage
             ends, before the first answer is returned.
-        on_restored: Called when the store answers with a later era, before
-            that answer is returned.
+        on_restored: Called before an answer with a later era is returned.
         era: Latest era received from the store, 0 if none.
     """
 
@@ -137,8 +135,7 @@
     ) -> result.Failure | None:
         """Creates an object unless one of that name exists.
 
-        The answer may be lost after the object was created. A repeated call
-        reports that the object exists, which also counts as success.
+        An existing one counts as success: a repeat may follow a lost answer.
 
         Args:
             kind: Kind of object.
--- a/packages/radishd/src/radishd/platform/wire.py
+++ b/packages/radishd/src/radishd/platform/wire.py
@@ -17,7 +17,6 @@
 from radishd.process import checked
 from radishd.process import logs
 
-# Kinds of objects in the platform's store.
 KIND_CONFIGURATION = "config"
 KIND_TARGETS = "servers"
 KIND_VERSIONS = "versions"
@@ -131,8 +130,7 @@
     else:
         split = (route_table.WeightedService(raw["service"], 1.0),)
     # Despite its general name, `type` states which requests may be repeated.
-    # Responses of a streaming route may be repeated only if the route is marked
-    # resumable.
+    # Streaming responses may be repeated only if the route is marked resumable.
     kind = raw["type"]
     if kind not in (_IDEMPOTENT, _NON_IDEMPOTENT, _STREAMING):
         logs.warn("route_kind_unknown", route=raw["name"], kind=kind)
@@ -165,8 +163,7 @@
 
     Args:
         spec: The content of any object.
-        from_peer: Whether another gateway sent the content; only then are the
-            digests in it trusted.
+        from_peer: Whether a gateway sent it; only then are its digests trusted.
 
     Returns:
         The content, or a copy without keys.
